--- a/internal/claims/duty.go
+++ b/internal/claims/duty.go
@@ -61,7 +61,7 @@
 		owners  []string
 	}
 	askEvent struct {
-		asked Asked
+		asked ClaimRequested
 		reply chan Answer
 	}
 	reportEvent struct {
@@ -108,7 +108,7 @@
 func (d *Duty) Owned() []uint32 { return *d.owned.Load() }
 
 // Changed receives after Owned has changed.
-func (d *Duty) Changed() <-chan struct{} { return d.news }
+func (d *Duty) OwnershipChanged() <-chan struct{} { return d.news }
 
 // Claim asks to run the call of r. It returns when the claim is recorded or
 // refused, or when ctx ends; then the answer is Unavailable and the call must
@@ -120,7 +120,7 @@
 	}
 	token := d.tokens.Add(1)
 	reply := make(chan Answer, 1)
-	if !d.inbox.Put(askEvent{asked: Asked{Token: token, Request: r}, reply: reply}) {
+	if !d.inbox.Put(askEvent{asked: ClaimRequested{Token: token, Request: r}, reply: reply}) {
 		return Answer{Kind: Unavailable, Reason: "too many claims wait", RetryAfter: retryStore}
 	}
 	select {
@@ -145,8 +145,8 @@
 }
 
 // Lost reports that a granted call may have run and has no answer.
-func (d *Duty) Lost(r Request) {
-	d.report(reportEvent{key: r.Key, ev: Lost{Request: r}})
+func (d *Duty) ResultLost(r Request) {
+	d.report(reportEvent{key: r.Key, ev: ResultLost{Request: r}})
 }
 
 // Release gives all slots up: no new claims are granted, and each slot is
@@ -302,7 +302,7 @@
 
 func (d *Duty) do(ctx context.Context, n int, e Effect) {
 	switch e := e.(type) {
-	case Call:
+	case StoreCall:
 		go d.call(ctx, n, e)
 	case Reply:
 		if reply, ok := d.waiting[e.Token]; ok {
@@ -317,7 +317,7 @@
 }
 
 // call makes one call of the store and reports how it ended.
-func (d *Duty) call(ctx context.Context, n int, c Call) {
+func (d *Duty) call(ctx context.Context, n int, c StoreCall) {
 	var ev Event
 	if c.Call == sharedstate.CallPut {
 		version, err := d.store.Put(ctx, c.Name, c.Version, c.Value)
--- a/internal/claims/event.go
+++ b/internal/claims/event.go
@@ -21,7 +21,7 @@
 	// Retain changes how long results are kept.
 	Retain struct{ Retention time.Duration }
 	// Asked is a request; its Reply carries the same Token.
-	Asked struct {
+	ClaimRequested struct {
 		Token   uint64
 		Request Request
 	}
@@ -39,7 +39,7 @@
 	// NotStarted says that a granted call did not run and never will.
 	NotStarted struct{ Request Request }
 	// Lost says that a granted call may have run and has no result.
-	Lost struct{ Request Request }
+	ResultLost struct{ Request Request }
 	// GetDone and PutDone end the Call effect.
 	GetDone struct {
 		Object sharedstate.Object
@@ -53,17 +53,17 @@
 	Tick struct{}
 )
 
-func (Plan) event()       {}
-func (Drain) event()      {}
-func (Retain) event()     {}
-func (Asked) event()      {}
-func (Abandoned) event()  {}
-func (Finished) event()   {}
-func (NotStarted) event() {}
-func (Lost) event()       {}
-func (GetDone) event()    {}
-func (PutDone) event()    {}
-func (Tick) event()       {}
+func (Plan) event()           {}
+func (Drain) event()          {}
+func (Retain) event()         {}
+func (ClaimRequested) event() {}
+func (Abandoned) event()      {}
+func (Finished) event()       {}
+func (NotStarted) event()     {}
+func (ResultLost) event()     {}
+func (GetDone) event()        {}
+func (PutDone) event()        {}
+func (Tick) event()           {}
 
 // Effect is something that a Slot asks for.
 type Effect interface{ effect() }
@@ -71,7 +71,7 @@
 // The effects of a Slot.
 type (
 	// Call asks for one call of the store. A slot has one at a time.
-	Call struct {
+	StoreCall struct {
 		Call sharedstate.Call
 		Name string
 		// Version and Value are those of a CallPut.
@@ -92,7 +92,7 @@
 	}
 )
 
-func (Call) effect()      {}
+func (StoreCall) effect() {}
 func (Reply) effect()     {}
 func (Wake) effect()      {}
 func (Ownership) effect() {}
--- a/internal/claims/keys.go
+++ b/internal/claims/keys.go
@@ -54,7 +54,7 @@
 	delete(s.keys, name)
 }
 
-func (s *Slot) asked(now time.Time, ev Asked) {
+func (s *Slot) asked(now time.Time, ev ClaimRequested) {
 	answer, decided := s.lookUp(now, ev.Request)
 	if decided {
 		s.reply(ev.Token, answer)
--- a/internal/claims/random_test.go
+++ b/internal/claims/random_test.go
@@ -181,7 +181,7 @@
 			c.step(o, claims.Abandoned{Token: token, Key: r.Key})
 		case 2:
 			c.runs[r.Key]++
-			c.step(o, claims.Lost{Request: r})
+			c.step(o, claims.ResultLost{Request: r})
 		default:
 			c.run(o, r, time.Duration(c.random.IntN(3000))*time.Millisecond)
 		}
--- a/internal/claims/slot.go
+++ b/internal/claims/slot.go
@@ -198,7 +198,7 @@
 		s.refuseQueued(notOwner)
 	case Retain:
 		s.config.Retention = ev.Retention
-	case Asked:
+	case ClaimRequested:
 		s.asked(now, ev)
 	case Abandoned:
 		s.abandoned(now, ev)
@@ -206,7 +206,7 @@
 		s.finished(now, ev)
 	case NotStarted:
 		s.notStarted(now, ev.Request)
-	case Lost:
+	case ResultLost:
 		s.lostResult(ev.Request)
 	case GetDone:
 		s.getDone(now, ev)
--- a/internal/claims/slot_test.go
+++ b/internal/claims/slot_test.go
@@ -276,7 +276,7 @@
 
 	It("says that a call without an answer may have run", func() {
 		w.granted = func(o *owner, _ uint64, r claims.Request) {
-			w.afterAt(o, time.Millisecond, func() { w.step(o, claims.Lost{Request: r}) })
+			w.afterAt(o, time.Millisecond, func() { w.step(o, claims.ResultLost{Request: r}) })
 		}
 		w.ask(a, "k", 1)
 		w.advance(time.Second)
--- a/internal/claims/store.go
+++ b/internal/claims/store.go
@@ -28,7 +28,7 @@
 
 func (s *Slot) call(c sharedstate.Call) {
 	s.calling = true
-	e := Call{Call: c, Name: s.name()}
+	e := StoreCall{Call: c, Name: s.name()}
 	if c == sharedstate.CallPut {
 		e.Version = s.write.Base
 		e.Value = s.write.Value
--- a/internal/claims/world_test.go
+++ b/internal/claims/world_test.go
@@ -158,7 +158,7 @@
 func (w *world) step(o *owner, ev claims.Event) {
 	for _, e := range o.slot.Step(w.now, ev) {
 		switch e := e.(type) {
-		case claims.Call:
+		case claims.StoreCall:
 			w.call(o, e)
 		case claims.Reply:
 			w.answered(o, e)
@@ -174,7 +174,7 @@
 	}
 }
 
-func (w *world) call(o *owner, c claims.Call) {
+func (w *world) call(o *owner, c claims.StoreCall) {
 	const timeout = time.Second
 	f := w.fate()
 	w.faults[f]++
@@ -216,7 +216,7 @@
 	})
 }
 
-func (w *world) put(c claims.Call) (uint64, error) {
+func (w *world) put(c claims.StoreCall) (uint64, error) {
 	if c.Version != w.store.Version {
 		return 0, sharedstate.ErrConflict
 	}
@@ -230,7 +230,7 @@
 	token := w.tokens
 	r := claims.Request{Service: "holds", Key: key, BodyDigest: body, RequestID: fmt.Sprintf("r%d", token)}
 	w.asked[token] = r
-	w.afterAt(o, 0, func() { w.step(o, claims.Asked{Token: token, Request: r}) })
+	w.afterAt(o, 0, func() { w.step(o, claims.ClaimRequested{Token: token, Request: r}) })
 	return token
 }
 
--- a/internal/decide/admit/admit.go
+++ b/internal/decide/admit/admit.go
@@ -64,17 +64,17 @@
 	SlackPart  float64
 	Window     time.Duration
 	// Accounts bounds the accounts tracked; what is beyond shares one.
-	Accounts       int
+	MaxAccounts    int
 	RemoteTTL      time.Duration
 	RemoteEntries  int
 	RemoteAccounts int
 	// Terms holds the accounts that differ from the default of weight 1 and
 	// no limit.
-	Terms map[string]Terms
+	Policies map[string]AccountPolicy
 }
 
 // Terms is what an operator grants one account.
-type Terms struct {
+type AccountPolicy struct {
 	// Weight scales the account's share; 0 means 1.
 	Weight float64
 	// Limit, in cost tokens a second over all entries, holds also without
@@ -96,16 +96,16 @@
 }
 
 // Picture is what the entry believes about the backend servers of the service.
-type Picture struct {
+type LoadSnapshot struct {
 	// QueueWait is the expected wait of a request that queues behind all.
-	QueueWait time.Duration
+	QueueDelay time.Duration
 	// DrainRate is the measured cost tokens a second that the fleet finishes
 	// when it is busy.
 	DrainRate float64
 	// Part is this entry's part of the load, in (0, 1]; 0 means 1.
-	Part float64
+	EntryShare float64
 	// Closed says that no backend server admits this service now.
-	Closed bool
+	NoCapacity bool
 }
 
 // Reason says why a request was refused.
@@ -149,7 +149,7 @@
 	// Entitled is the part of what the caller offers that is within its share,
 	// in (0, 1]. Demand for a planner is to count by it: roles set for work
 	// that fairness turns away would be wrong for the work that is let in.
-	Entitled float64
+	EntitledFraction float64
 }
 
 // Usage is the work of one account at one entry, as gossiped.
@@ -188,7 +188,7 @@
 	cfg.Saturation = cmp.Or(cfg.Saturation, DefaultSaturation)
 	cfg.SlackPart = cmp.Or(cfg.SlackPart, DefaultSlackPart)
 	cfg.Window = cmp.Or(cfg.Window, DefaultWindow)
-	cfg.Accounts = cmp.Or(cfg.Accounts, DefaultAccounts)
+	cfg.MaxAccounts = cmp.Or(cfg.MaxAccounts, DefaultAccounts)
 	cfg.RemoteTTL = cmp.Or(cfg.RemoteTTL, DefaultRemoteTTL)
 	cfg.RemoteEntries = cmp.Or(cfg.RemoteEntries, DefaultRemoteEntries)
 	cfg.RemoteAccounts = cmp.Or(cfg.RemoteAccounts, DefaultRemoteAccounts)
@@ -201,11 +201,11 @@
 }
 
 // SetTerms replaces the accounts' terms, after a change of configuration.
-func (a *Admitter) SetTerms(terms map[string]Terms) { a.cfg.Terms = terms }
+func (a *Admitter) SetPolicies(terms map[string]AccountPolicy) { a.cfg.Policies = terms }
 
 // Decide admits or refuses r. An admitted request must be followed by
 // Finished, whatever its outcome.
-func (a *Admitter) Decide(now time.Time, r Request, p Picture) Decision {
+func (a *Admitter) Decide(now time.Time, r Request, p LoadSnapshot) Decision {
 	acc := a.account(now, r.Caller)
 	cost := float64(max(1, r.CostTokens))
 	acc.offered += cost
@@ -214,12 +214,12 @@
 	a.relevel(now, p)
 	entitled := a.entitled(acc, r.Caller)
 	if d := a.refusal(now, acc, r, p); d.Reason != Admitted {
-		d.Entitled = entitled
+		d.EntitledFraction = entitled
 		return d
 	}
 	acc.admitted += cost
 	acc.outstanding += cost
-	return Decision{Admit: true, Entitled: entitled}
+	return Decision{Admit: true, EntitledFraction: entitled}
 }
 
 // entitledShares is up to how many shares a caller's offer counts as demand.
@@ -238,15 +238,15 @@
 	acc.outstanding = max(0, acc.outstanding-float64(max(1, costTokens)))
 }
 
-func (a *Admitter) refusal(now time.Time, acc *account, r Request, p Picture) Decision {
-	if p.Closed {
-		return a.refuse(NoCapacity, p.QueueWait)
+func (a *Admitter) refusal(now time.Time, acc *account, r Request, p LoadSnapshot) Decision {
+	if p.NoCapacity {
+		return a.refuse(NoCapacity, p.QueueDelay)
 	}
 	rate := a.rate(acc.admitted) + a.remote.rate(r.Caller)
-	if limit := a.cfg.Terms[r.Caller].Limit; limit > 0 && rate > limit {
+	if limit := a.cfg.Policies[r.Caller].Limit; limit > 0 && rate > limit {
 		return a.refuse(OverLimit, a.decayTo(rate, limit))
 	}
-	wait := p.QueueWait
+	wait := p.QueueDelay
 	if a.underShare(acc, r) {
 		wait = min(wait, a.ownWait(acc, r, p))
 	} else if share := a.share(r, p); rate > share {
@@ -270,25 +270,25 @@
 // bound while the queue is short, then its fair share, cut further the longer
 // the queue is. A drain rate that is thought too high would otherwise let the
 // heavy callers fill the queue up to everybody's deadline.
-func (a *Admitter) share(r Request, p Picture) float64 {
+func (a *Admitter) share(r Request, p LoadSnapshot) float64 {
 	slack := time.Duration(a.cfg.SlackPart * float64(r.Deadline-r.RunTime))
 	limit := max(a.cfg.Saturation, slack)
-	if p.QueueWait <= limit {
+	if p.QueueDelay <= limit {
 		return math.Inf(1)
 	}
-	return a.level * a.weight(r.Caller) * float64(limit) / float64(p.QueueWait)
+	return a.level * a.weight(r.Caller) * float64(limit) / float64(p.QueueDelay)
 }
 
 // ownWait is the wait of a caller under its share. Fair queueing serves it in
 // turn with the other callers that have work outstanding, however much the
 // heavy ones have queued: it waits for its own work ahead and one turn.
-func (a *Admitter) ownWait(acc *account, r Request, p Picture) time.Duration {
+func (a *Admitter) ownWait(acc *account, r Request, p LoadSnapshot) time.Duration {
 	if p.DrainRate <= 0 {
-		return p.QueueWait
+		return p.QueueDelay
 	}
 	guaranteed := max(1, min(a.level, p.DrainRate)*a.weight(r.Caller))
 	others := a.turn - min(acc.outstanding, a.meanCost)
-	seconds := acc.outstanding/guaranteed + max(0, others)/(p.DrainRate*cmp.Or(p.Part, 1))
+	seconds := acc.outstanding/guaranteed + max(0, others)/(p.DrainRate*cmp.Or(p.EntryShare, 1))
 	return time.Duration(min(seconds, maxOwnWait.Seconds()) * float64(time.Second))
 }
 
@@ -312,7 +312,7 @@
 }
 
 func (a *Admitter) weight(caller string) float64 {
-	if w := a.cfg.Terms[caller].Weight; w > 0 {
+	if w := a.cfg.Policies[caller].Weight; w > 0 {
 		return w
 	}
 	return 1
@@ -322,7 +322,7 @@
 
 // relevel works out the max-min fair share: the level at which the callers'
 // offered rates, each cut at level x weight, add up to the drain rate.
-func (a *Admitter) relevel(now time.Time, p Picture) {
+func (a *Admitter) relevel(now time.Time, p LoadSnapshot) {
 	period := levelPeriod * time.Duration(1+len(a.accounts)/1_000)
 	if now.Sub(a.leveled) < period {
 		return
@@ -392,7 +392,7 @@
 }
 
 // MergeRemote replaces what is known of another entry's heaviest accounts.
-func (a *Admitter) MergeRemote(now time.Time, entry string, usages []Usage) {
+func (a *Admitter) SetRemoteUsage(now time.Time, entry string, usages []Usage) {
 	a.remote.merge(now, entry, usages)
 }
 
@@ -401,7 +401,7 @@
 
 func (a *Admitter) account(now time.Time, caller string) *account {
 	acc, ok := a.accounts[caller]
-	if !ok && len(a.accounts) >= a.cfg.Accounts {
+	if !ok && len(a.accounts) >= a.cfg.MaxAccounts {
 		caller = overflow
 		acc, ok = a.accounts[caller]
 	}
--- a/internal/decide/admit/admit_test.go
+++ b/internal/decide/admit/admit_test.go
@@ -22,14 +22,14 @@
 func at(d time.Duration) time.Time { return start.Add(d) }
 
 // saturated is a queue just past the part of the slack that waiting may take.
-var saturated = admit.Picture{QueueWait: 2600 * time.Millisecond, DrainRate: 10_000}
+var saturated = admit.LoadSnapshot{QueueDelay: 2600 * time.Millisecond, DrainRate: 10_000}
 
-var long = admit.Picture{QueueWait: 20 * time.Second, DrainRate: 1_000}
+var long = admit.LoadSnapshot{QueueDelay: 20 * time.Second, DrainRate: 1_000}
 
 // fill gives an Admitter a burst of callers with one request outstanding each.
 func fill(a *admit.Admitter) {
 	for i := range 30 {
-		a.Decide(start, request(fmt.Sprintf("burst-%d", i), 20_000), admit.Picture{DrainRate: 1_000})
+		a.Decide(start, request(fmt.Sprintf("burst-%d", i), 20_000), admit.LoadSnapshot{DrainRate: 1_000})
 	}
 }
 
@@ -39,7 +39,7 @@
 
 // offer plays callers that offer rates, in requests of 100 tokens a second,
 // and returns the part of each one's requests that was admitted.
-func offer(a *admit.Admitter, p admit.Picture, rates map[string]int, length time.Duration) map[string]float64 {
+func offer(a *admit.Admitter, p admit.LoadSnapshot, rates map[string]int, length time.Duration) map[string]float64 {
 	admitted := make(map[string]float64)
 	offered := make(map[string]float64)
 	for t := time.Duration(0); t < length; t += 100 * time.Millisecond {
@@ -96,14 +96,14 @@
 	})
 
 	It("gives shares by weight", func() {
-		a := admit.New(admit.Config{Terms: map[string]admit.Terms{"caller-0": {Weight: 3}}})
+		a := admit.New(admit.Config{Policies: map[string]admit.AccountPolicy{"caller-0": {Weight: 3}}})
 		admitted := offer(a, saturated, map[string]int{"caller-0": 200, "caller-1": 200}, time.Minute)
 		Expect(admitted["caller-0"] / admitted["caller-1"]).To(BeNumerically("~", 3, 0.5))
 	})
 
 	It("lets a heavy caller have what others leave while there is no queue", func() {
 		a := admit.New(admit.Config{})
-		idle := admit.Picture{DrainRate: 10_000}
+		idle := admit.LoadSnapshot{DrainRate: 10_000}
 		admitted := offer(a, idle, map[string]int{"caller-0": 200, "caller-1": 20}, time.Minute)
 		Expect(admitted["caller-0"]).To(BeEquivalentTo(1))
 	})
@@ -115,7 +115,7 @@
 		rates := map[string]int{"caller-0": 60, "caller-1": 30}
 		Expect(offer(a, saturated, rates, 30*time.Second)["caller-0"]).To(BeEquivalentTo(1))
 		a = admit.New(admit.Config{RemoteTTL: time.Hour})
-		a.MergeRemote(start, "entry-2", []admit.Usage{{Caller: "caller-0", Rate: 50_000}})
+		a.SetRemoteUsage(start, "entry-2", []admit.Usage{{Caller: "caller-0", Rate: 50_000}})
 		admitted := offer(a, saturated, rates, 30*time.Second)
 		Expect(admitted["caller-0"]).To(BeNumerically("<", 0.5))
 		Expect(admitted["caller-1"]).To(BeEquivalentTo(1))
@@ -123,14 +123,14 @@
 
 	It("tells the heaviest accounts, and forgets those of an entry that is gone", func() {
 		a := admit.New(admit.Config{})
-		offer(a, admit.Picture{DrainRate: 1e6}, map[string]int{"caller-0": 100, "caller-1": 300, "caller-2": 200}, 10*time.Second)
+		offer(a, admit.LoadSnapshot{DrainRate: 1e6}, map[string]int{"caller-0": 100, "caller-1": 300, "caller-2": 200}, 10*time.Second)
 		Expect(a.HeaviestAccounts(at(10*time.Second), 2)).To(HaveExactElements(
 			HaveField("Caller", "caller-1"), HaveField("Caller", "caller-2")))
 	})
 
 	It("holds an account to the operators' limit", func() {
-		a := admit.New(admit.Config{Terms: map[string]admit.Terms{"caller-0": {Limit: 2_000}}})
-		admitted := offer(a, admit.Picture{DrainRate: 1e6}, map[string]int{"caller-0": 100}, time.Minute)
+		a := admit.New(admit.Config{Policies: map[string]admit.AccountPolicy{"caller-0": {Limit: 2_000}}})
+		admitted := offer(a, admit.LoadSnapshot{DrainRate: 1e6}, map[string]int{"caller-0": 100}, time.Minute)
 		Expect(admitted["caller-0"]).To(BeNumerically("~", 0.2, 0.05))
 	})
 
@@ -139,7 +139,7 @@
 	It("admits while the drain rate is not known, and goes on once it is", func() {
 		a := admit.New(admit.Config{})
 		for i := range 100 {
-			d := a.Decide(at(time.Duration(i)*10*time.Millisecond), request("booker", 2_000), admit.Picture{})
+			d := a.Decide(at(time.Duration(i)*10*time.Millisecond), request("booker", 2_000), admit.LoadSnapshot{})
 			Expect(d.Admit).To(BeTrue())
 		}
 		d := a.Decide(at(1001*time.Millisecond), request("assayer", 2_000), saturated)
@@ -147,9 +147,9 @@
 	})
 
 	It("tracks a bounded number of accounts", func() {
-		a := admit.New(admit.Config{Accounts: 100})
+		a := admit.New(admit.Config{MaxAccounts: 100})
 		for i := range 10_000 {
-			a.Decide(start, request(fmt.Sprintf("caller-%d", i), 100), admit.Picture{DrainRate: 1e6})
+			a.Decide(start, request(fmt.Sprintf("caller-%d", i), 100), admit.LoadSnapshot{DrainRate: 1e6})
 		}
 		Expect(len(a.HeaviestAccounts(start, 10_000))).To(BeNumerically("<=", 101))
 	})
--- a/internal/decide/place/admit.go
+++ b/internal/decide/place/admit.go
@@ -33,7 +33,7 @@
 	// GeneratePriority is for prompts that another engine has read. They need a
 	// step and no reading, and must not wait behind the prompts that their engine
 	// reads itself.
-	GeneratePriority = 1
+	DecodePriority = 1
 	// OnTimePriority is for prompts that can meet their objective.
 	OnTimePriority = 4
 	// LatePriority is for those that cannot any more: they take what the others
@@ -42,10 +42,10 @@
 )
 
 // Urgency is what a caller still expects.
-type Urgency struct {
+type Constraints struct {
 	// Objective is the time left until the first token is late, Left until the
 	// caller gives up.
-	Objective, Left time.Duration
+	Objective, Remaining time.Duration
 	// Committed says that the request may have run, or that its caller has a part of
 	// the answer: it is not refused as one that cannot end in time.
 	Committed bool
@@ -69,26 +69,26 @@
 // be read for a caller who has left by then, and the fleet be busy with work
 // that is worth nothing; one notices by engines that read at full speed while
 // no answer is in time, and it does not end when the cause does.
-func admit(p Plan, u Urgency, refusals float64) Admission {
+func admit(p Plan, u Constraints, refusals float64) Admission {
 	if p.hopeless(u) {
-		return Admission{RetryAfter: LatestReturn(u.Left)}
+		return Admission{RetryAfter: MaxRetryAfter(u.Remaining)}
 	}
-	expected := p.Expected()
-	if expected <= part(inTimePart, u.Objective) || !p.Learned {
+	expected := p.ExpectedTTFT()
+	if expected <= part(inTimePart, u.Objective) || !p.Calibrated {
 		return Admission{Admit: true, Priority: OnTimePriority}
 	}
-	if p.Wait+p.Lag <= part(lateWaitPart, u.Left) && p.canEnd(u) {
+	if p.QueueDelay+p.PrefillLag <= part(lateWaitPart, u.Remaining) && p.canEnd(u) {
 		return Admission{Admit: true, Priority: latePriority(p)}
 	}
 	return Admission{RetryAfter: max(leastRetryAfter, comeBack(expected, u, refusals))}
 }
 
 // hopeless reports whether the answer would miss its deadline.
-func (p Plan) hopeless(u Urgency) bool { return p.Miss > hopelessMiss && !u.Committed }
+func (p Plan) hopeless(u Constraints) bool { return p.MissProbability > hopelessMiss && !u.Committed }
 
 // canEnd reports whether a late first token leaves time for the answer.
-func (p Plan) canEnd(u Urgency) bool {
-	return !p.hopeless(u) && p.Expected() <= part(latePart, u.Left)
+func (p Plan) canEnd(u Constraints) bool {
+	return !p.hopeless(u) && p.ExpectedTTFT() <= part(latePart, u.Remaining)
 }
 
 // latePriority is the priority of a prompt that cannot be in time. A short one does
@@ -108,8 +108,8 @@
 // who returns as soon as it is shorter can still be in time. While many are, the
 // burst lasts for seconds: callers who return within it are refused once more,
 // and for good. They are told to come as late as they would.
-func comeBack(expected time.Duration, u Urgency, refusals float64) time.Duration {
-	latest := LatestReturn(u.Left)
+func comeBack(expected time.Duration, u Constraints, refusals float64) time.Duration {
+	latest := MaxRetryAfter(u.Remaining)
 	soon := min(expected-max(0, u.Objective), latest)
 	lasts := refusals / lastingRefusals
 	return soon + part(min(1, lasts*lasts), latest-soon)
@@ -117,7 +117,7 @@
 
 // LatestReturn is when a refused caller returns at the latest, by the time that it has
 // left.
-func LatestReturn(left time.Duration) time.Duration { return part(maxRetryPart, left) }
+func MaxRetryAfter(left time.Duration) time.Duration { return part(maxRetryPart, left) }
 
 func part(of float64, d time.Duration) time.Duration {
 	return time.Duration(of * float64(d))
--- a/internal/decide/place/answer_test.go
+++ b/internal/decide/place/answer_test.go
@@ -78,25 +78,25 @@
 	if p.rng.IntN(2) == 0 {
 		return
 	}
-	p.fleet.Answered(n.hint, n.events)
+	p.fleet.ObserveAnswerLength(n.hint, n.events)
 }
 
 // run has the rest of an answer generated, if it is let in.
 func (p *notePlay) run(now time.Time, n *note) {
 	j := place.Job{ID: n.id, Prompt: prompt(uint64(n.id), 0, 200, uint64(n.id))}
 	j.Prompt.Output, j.Prompt.Done = n.hint, int(n.made)
-	urgency := place.Urgency{Objective: 150 * time.Millisecond, Left: n.deadline.Sub(now)}
+	urgency := place.Constraints{Objective: 150 * time.Millisecond, Remaining: n.deadline.Sub(now)}
 	plan, admission, ok := p.fleet.Plan(now, j, urgency)
 	Expect(ok).To(BeTrue())
 	if !admission.Admit {
 		n.ended = true
 		return
 	}
-	p.fleet.Placed(now, place.Placement{
-		ID: n.id, Prompt: request.Prompt{Tokens: 200, Output: n.hint, Done: int(n.made)}, Plan: plan, Left: urgency.Left,
+	p.fleet.AddPlacement(now, place.Placement{
+		ID: n.id, Prompt: request.Prompt{Tokens: 200, Output: n.hint, Done: int(n.made)}, Plan: plan, Remaining: urgency.Remaining,
 	})
-	p.fleet.ReadDone(now, n.id)
-	n.decoder, n.last = plan.Decoder, now
+	p.fleet.PrefillDone(now, n.id)
+	n.decoder, n.last = plan.DecodeEngine, now
 	p.running = append(p.running, n)
 }
 
@@ -111,14 +111,14 @@
 		n.made += float64(playStep) / float64(paces[n.decoder])
 		if int(n.made) > before {
 			if n.decoder != p.unseen {
-				p.fleet.Event(now, n.id, now.Sub(n.last))
+				p.fleet.ObserveInterEventTime(now, n.id, now.Sub(n.last))
 			}
 			n.last = now
 		}
 		n.whole = int(n.made) >= n.events
 		n.ended = n.whole || now.After(n.deadline)
 		if n.ended {
-			p.fleet.Ended(now, n.id)
+			p.fleet.JobFinished(now, n.id)
 		}
 	}
 	p.running = slices.DeleteFunc(p.running, func(n *note) bool { return n.ended })
@@ -184,10 +184,10 @@
 			for i := range decoders {
 				p.slowness["e"+strconv.Itoa(2+i)] = 1
 			}
-			_, known := p.fleet.Misses(start)
+			_, known := p.fleet.ExpectedMissRate(start)
 			Expect(known).To(BeFalse())
 			p.play(25)
-			misses, known := p.fleet.Misses(p.now)
+			misses, known := p.fleet.ExpectedMissRate(p.now)
 			Expect(known).To(BeTrue())
 			return misses
 		}
@@ -204,22 +204,22 @@
 	own := func(answers, length, every, during int) int {
 		f := taught(1, 1)
 		for n := range 200 {
-			f.Answered(100, 1+2*(n%2))
+			f.ObserveAnswerLength(100, 1+2*(n%2))
 			id := place.JobID(1<<40 + n)
-			f.Placed(at(0), place.Placement{
-				ID: id, Plan: place.Plan{Reader: "e0", Decoder: "e1"}, Left: time.Minute, Prompt: request.Prompt{Output: length},
+			f.AddPlacement(at(0), place.Placement{
+				ID: id, Plan: place.Plan{PrefillEngine: "e0", DecodeEngine: "e1"}, Remaining: time.Minute, Prompt: request.Prompt{Output: length},
 			})
-			f.ReadDone(at(0), id)
-			f.Event(at(0), id, 50*time.Millisecond)
+			f.PrefillDone(at(0), id)
+			f.ObserveInterEventTime(at(0), id, 50*time.Millisecond)
 			if n < 200-answers {
-				f.Ended(at(0), id)
+				f.JobFinished(at(0), id)
 			}
 		}
 		reads := 0
 		for ms := 0; ms < during; ms += every {
 			j := place.Job{ID: place.JobID(ms + 1), Prompt: prompt(uint64(ms), 0, 4_000, uint64(ms))}
 			p, _, _ := f.Plan(at(ms), j, patient)
-			f.Placed(at(ms), place.Placement{ID: j.ID, Prompt: j.Prompt, Plan: p, Left: time.Minute})
+			f.AddPlacement(at(ms), place.Placement{ID: j.ID, Prompt: j.Prompt, Plan: p, Remaining: time.Minute})
 			if !p.Split() {
 				reads++
 			}
--- a/internal/decide/place/arrivals.go
+++ b/internal/decide/place/arrivals.go
@@ -23,7 +23,7 @@
 
 func (a *arrivals) fade(now time.Time) {
 	if passed := now.Sub(a.at); passed > 0 {
-		a.count *= predict.Left(passed, arrivalsHalfLife)
+		a.count *= predict.DecayFactor(passed, arrivalsHalfLife)
 		a.at = now
 	}
 }
@@ -39,6 +39,6 @@
 func (f *Fleet) handoverCost(now time.Time, e *engine, p Plan) time.Duration {
 	// Those that come while the prompt waits are delayed by all of the read, those that
 	// come while it is read by half of it on average.
-	delayed := e.handovers.perSecond(now) * (p.Wait + p.Read/2).Seconds()
-	return part(delayed, f.handover.Behind(p.Read))
+	delayed := e.handovers.perSecond(now) * (p.QueueDelay + p.PrefillTime/2).Seconds()
+	return part(delayed, f.handover.BacklogDelay(p.PrefillTime))
 }
--- a/internal/decide/place/belief.go
+++ b/internal/decide/place/belief.go
@@ -7,7 +7,7 @@
 )
 
 // Belief is what a Fleet has learned of one engine, for operators.
-type Belief struct {
+type EngineEstimate struct {
 	// Reads is how many reads by engines in this role it rests on.
 	Reads int `json:"reads"`
 	// TokensPerMS is how many prompt tokens such an engine of average speed reads
@@ -27,20 +27,20 @@
 }
 
 // Belief returns what is believed of an engine; false if it is not known.
-func (f *Fleet) Belief(now time.Time, id string) (Belief, bool) {
+func (f *Fleet) EngineEstimate(now time.Time, id string) (EngineEstimate, bool) {
 	e, ok := f.engines[id]
 	if !ok {
-		return Belief{}, false
+		return EngineEstimate{}, false
 	}
-	return Belief{
-		Reads:       e.reading.Reads(),
-		TokensPerMS: e.reading.Rate(),
-		LatencyMS:   predict.InMS(e.reading.Latency()),
-		Slowness:    e.speed.Slowness(),
-		WaitMS:      predict.InMS(e.wait(now)),
+	return EngineEstimate{
+		Reads:       e.reading.Samples(),
+		TokensPerMS: e.reading.TokenRate(),
+		LatencyMS:   predict.ToMillis(e.reading.FixedLatency()),
+		Slowness:    e.speed.Slowdown(),
+		WaitMS:      predict.ToMillis(e.wait(now)),
 		Streams:     e.streams,
 
-		BetweenMS:        predict.InMS(e.between(e.running(now))),
-		GenerateSlowness: e.generating.Slowness(),
+		BetweenMS:        predict.ToMillis(e.between(e.running(now))),
+		GenerateSlowness: e.generating.Slowdown(),
 	}, true
 }
--- a/internal/decide/place/bench_test.go
+++ b/internal/decide/place/bench_test.go
@@ -14,7 +14,7 @@
 	for i := range 2_000 {
 		j := place.Job{ID: place.JobID(i + 1), Prompt: prompt(uint64(i%300), 13_000, 3_000, uint64(i))}
 		p, _, _ := f.Plan(at(i), j, patient)
-		f.Placed(at(i), place.Placement{ID: j.ID, Prompt: j.Prompt, Plan: p, Left: time.Minute})
+		f.AddPlacement(at(i), place.Placement{ID: j.ID, Prompt: j.Prompt, Plan: p, Remaining: time.Minute})
 	}
 	for b.Loop() {
 		f.Plan(at(2_000), place.Job{ID: 1 << 40, Prompt: prompt(7, 13_000, 3_000, 1)}, patient)
--- a/internal/decide/place/cache.go
+++ b/internal/decide/place/cache.go
@@ -26,7 +26,7 @@
 
 // leading returns how many tokens of the prompt are kept. A part counts only if
 // all parts before it are kept too.
-func (c *cache) leading(parts []request.Part) int {
+func (c *cache) leading(parts []request.Segment) int {
 	tokens := 0
 	for _, p := range parts {
 		if _, ok := c.parts[p.ID]; !ok {
@@ -39,7 +39,7 @@
 
 // use notes that the engine reads or fetches the parts, and returns those that it
 // did not keep before.
-func (c *cache) use(parts []request.Part) (added []request.Part) {
+func (c *cache) use(parts []request.Segment) (added []request.Segment) {
 	for _, p := range parts {
 		if e, ok := c.parts[p.ID]; ok {
 			c.recent.MoveToFront(e)
@@ -56,7 +56,7 @@
 }
 
 // drop notes that the engine does not keep the parts.
-func (c *cache) drop(parts []request.Part) {
+func (c *cache) drop(parts []request.Segment) {
 	for _, p := range parts {
 		if e, ok := c.parts[p.ID]; ok {
 			c.remove(e)
--- a/internal/decide/place/decoder.go
+++ b/internal/decide/place/decoder.go
@@ -25,7 +25,7 @@
 type decoderChoice map[string]decoder
 
 // decoders returns the decoderChoice for a job.
-func (f *Fleet) decoders(now time.Time, j Job, u Urgency, s scope) decoderChoice {
+func (f *Fleet) decoders(now time.Time, j Job, u Constraints, s scope) decoderChoice {
 	choice := make(decoderChoice)
 	for _, id := range f.order {
 		e := f.engines[id]
@@ -74,7 +74,7 @@
 // so that answers spread.
 func (f *Fleet) handoverTo(now time.Time, e *engine) time.Duration {
 	spread := 1 + takenWeight*e.taken()
-	return time.Duration(spread*float64(f.handover.Least())) + f.handover.Behind(e.wait(now))
+	return time.Duration(spread*float64(f.handover.BaseDelay())) + f.handover.BacklogDelay(e.wait(now))
 }
 
 // transferTime is how long the KV cache of a prompt takes between two engines.
@@ -88,14 +88,14 @@
 
 // OtherDecoder chooses another engine to generate what p.Reader has read; false
 // if there is none.
-func (f *Fleet) OtherDecoder(now time.Time, j Job, u Urgency, p Plan) (Plan, bool) {
-	reader, ok := f.engines[p.Reader]
+func (f *Fleet) AlternateDecodeEngine(now time.Time, j Job, u Constraints, p Plan) (Plan, bool) {
+	reader, ok := f.engines[p.PrefillEngine]
 	if !ok {
 		return p, false
 	}
 	for _, s := range decoderScopes {
 		if best, _, ok := f.decoders(now, j, u, s).bestFor(f, j, reader); ok {
-			p.Decoder = best.ID
+			p.DecodeEngine = best.ID
 			return p, true
 		}
 	}
--- a/internal/decide/place/engine.go
+++ b/internal/decide/place/engine.go
@@ -31,8 +31,8 @@
 	cache *cache
 	// reading is what is believed of reads by the engines in its role, speed
 	// what is believed of this one.
-	reading *predict.Reading
-	speed   predict.Engine
+	reading *predict.PrefillModel
+	speed   predict.EngineSpeed
 	// queue has the prompts that it has to read.
 	queue queue
 	// since is since when the first of them has been read.
@@ -46,8 +46,8 @@
 	began   time.Time
 	// steps is what is believed of the time between two events of a stream,
 	// generating what is believed of this engine's.
-	steps      *predict.Steps
-	generating predict.Engine
+	steps      *predict.DecodeModel
+	generating predict.EngineSpeed
 	// risk is what it costs to delay all streams, as a part of the delay.
 	risk float64
 	// avoidUntil keeps an engine out that failed.
@@ -62,8 +62,8 @@
 }
 
 // cost is how long the engine is busy with work.
-func (e *engine) cost(w predict.Work) time.Duration {
-	return time.Duration(e.speed.Slowness() * float64(e.reading.Cost(w)))
+func (e *engine) cost(w predict.PrefillWork) time.Duration {
+	return time.Duration(e.speed.Slowdown() * float64(e.reading.ComputeTime(w)))
 }
 
 // overdueAfter is how many times the longest read may last beyond what is
@@ -95,7 +95,7 @@
 	if e.queue.empty() {
 		return 0, false
 	}
-	longest := e.cost(e.queue.longest) + e.reading.Latency()
+	longest := e.cost(e.queue.longest) + e.reading.FixedLatency()
 	overdue := now.Sub(e.since) - longest
 	return overdue, overdue > time.Duration(overdueAfter*float64(longest))
 }
@@ -133,18 +133,18 @@
 }
 
 // running is what the engine generates for.
-func (e *engine) running(now time.Time) predict.Running {
-	return predict.Running{Tokens: float64(e.tokens), Age: time.Duration(e.streams) * max(0, now.Sub(e.began))}
+func (e *engine) running(now time.Time) predict.DecodeBatch {
+	return predict.DecodeBatch{PromptTokens: float64(e.tokens), TotalAge: time.Duration(e.streams) * max(0, now.Sub(e.began))}
 }
 
 // event learns from the time between two events of a stream.
 func (e *engine) event(now time.Time, gap time.Duration) {
 	r := e.running(now)
-	slowness := e.generating.Slowness()
-	if e.steps.Known() {
-		e.generating.Learn(e.between(r), gap)
+	slowness := e.generating.Slowdown()
+	if e.steps.Calibrated() {
+		e.generating.Observe(e.between(r), gap)
 	}
-	e.steps.Learn(r, slowness, gap)
+	e.steps.Observe(r, slowness, gap)
 }
 
 // full reports whether a new stream would have to wait for a slot.
@@ -158,9 +158,9 @@
 	wait := e.wait(now)
 	if total := e.cost(e.queue.work); total > 0 {
 		left := min(1, float64(wait)/float64(total))
-		r.before = e.queue.work.Times(left).Plus(r.work)
+		r.before = e.queue.work.Scale(left).Plus(r.work)
 	}
-	r.expected = wait + e.cost(r.work) + e.reading.Latency()
+	r.expected = wait + e.cost(r.work) + e.reading.FixedLatency()
 	if e.queue.empty() {
 		e.since = now
 	}
@@ -180,15 +180,15 @@
 	}
 	took := now.Sub(r.sent)
 	if r.poisoned || e.full() {
-		if !e.reading.Known() {
-			e.reading.Learn(r.before, 1, took)
+		if !e.reading.Calibrated() {
+			e.reading.Observe(r.before, 1, took)
 		}
 		return
 	}
-	if e.reading.Known() {
-		e.speed.Learn(r.expected, took)
+	if e.reading.Calibrated() {
+		e.speed.Observe(r.expected, took)
 	}
-	e.reading.Learn(r.before, e.speed.Slowness(), took)
+	e.reading.Observe(r.before, e.speed.Slowdown(), took)
 }
 
 // remove drops a read and returns it. The engine went on with the rest while the
@@ -198,7 +198,7 @@
 	if r == nil {
 		return nil
 	}
-	e.since = now.Add(-e.reading.Latency())
+	e.since = now.Add(-e.reading.FixedLatency())
 	if next := e.queue.oldest(); next != nil && next.sent.After(e.since) {
 		e.since = next.sent
 	}
--- a/internal/decide/place/group.go
+++ b/internal/decide/place/group.go
@@ -20,7 +20,7 @@
 }
 
 // Groups returns how many groups a deployment has.
-func Groups(gateways, engines int) uint64 {
+func GroupCount(gateways, engines int) uint64 {
 	return uint64(max(1, min(gateways/groupGateways, engines/groupEngines)))
 }
 
--- a/internal/decide/place/job.go
+++ b/internal/decide/place/job.go
@@ -18,7 +18,7 @@
 	readAt time.Time
 	// added are the parts that reader is thought to keep since this job was placed,
 	// and handedOver those that decoder keeps once they are read.
-	added, handedOver []request.Part
+	added, handedOver []request.Segment
 	// transfer is what the plan allows for the transfer of KV cache, and backlog
 	// what the decoder had to read itself when the prompt's read ended.
 	transfer, backlog time.Duration
@@ -34,25 +34,25 @@
 }
 
 // Placed notes that a request goes where its plan says.
-func (f *Fleet) Placed(now time.Time, p Placement) {
-	f.Ended(now, p.ID)
+func (f *Fleet) AddPlacement(now time.Time, p Placement) {
+	f.JobFinished(now, p.ID)
 	f.placed++
-	reader, ok := f.engines[p.Plan.Reader]
+	reader, ok := f.engines[p.Plan.PrefillEngine]
 	if !ok {
 		return
 	}
 	tokens := f.context(p.Prompt)
-	work := predict.WorkOf(tokens, p.Plan.Kept)
+	work := predict.NewPrefillWork(tokens, p.Plan.CachedTokens)
 	f.unread += unreadGain * (work.Tokens - f.unread)
 	reader.add(now, &read{job: p.ID, work: work, sent: now})
-	added := reader.cache.use(p.Prompt.Parts)
-	j := &job{reader: reader, reading: true, added: added, tokens: tokens, answer: answerOf(p.Prompt), until: now.Add(p.Left)}
+	added := reader.cache.use(p.Prompt.Segments)
+	j := &job{reader: reader, reading: true, added: added, tokens: tokens, answer: answerOf(p.Prompt), until: now.Add(p.Remaining)}
 	f.jobs[p.ID] = j
-	if d, ok := f.engines[p.Plan.Decoder]; ok {
+	if d, ok := f.engines[p.Plan.DecodeEngine]; ok {
 		f.generateAt(now, j, d)
-		f.countMiss(now, d, j.answer, p.Left)
+		f.countMiss(now, d, j.answer, p.Remaining)
 		if p.Plan.Split() {
-			j.handedOver = p.Prompt.Parts
+			j.handedOver = p.Prompt.Segments
 			d.handovers.add(now)
 			j.transfer = f.transferTime(p.Prompt, reader, d)
 		}
@@ -60,7 +60,7 @@
 }
 
 // Moved notes that another decoder than the planned one generates for a job.
-func (f *Fleet) Moved(now time.Time, id JobID, decoder string) {
+func (f *Fleet) SetDecodeEngine(now time.Time, id JobID, decoder string) {
 	if j, ok := f.jobs[id]; ok {
 		f.generateAt(now, j, f.engines[decoder])
 		j.readAt = time.Time{}
@@ -86,31 +86,31 @@
 }
 
 // Event notes the time between two events of a job's stream.
-func (f *Fleet) Event(now time.Time, id JobID, gap time.Duration) {
+func (f *Fleet) ObserveInterEventTime(now time.Time, id JobID, gap time.Duration) {
 	if j, ok := f.jobs[id]; ok && j.decoder != nil {
 		j.decoder.event(now, gap)
 	}
 }
 
 // Answered notes that a whole answer of a number of events has come.
-func (f *Fleet) Answered(hint, events int) { f.lengths.Learn(hint, events) }
+func (f *Fleet) ObserveAnswerLength(hint, events int) { f.lengths.Observe(hint, events) }
 
 // ReadDone notes that the prompt of another entry's job has been read, and learns from
 // it.
-func (f *Fleet) ReadDone(now time.Time, id JobID) { f.readDone(now, id, &f.othersLag) }
+func (f *Fleet) PrefillDone(now time.Time, id JobID) { f.readDone(now, id, &f.othersLag) }
 
 // OwnReadDone notes that the prompt of a job of this entry has been read.
-func (f *Fleet) OwnReadDone(now time.Time, id JobID) { f.readDone(now, id, &f.ownLag) }
+func (f *Fleet) LocalPrefillDone(now time.Time, id JobID) { f.readDone(now, id, &f.ownLag) }
 
 // readDone notes the end of a read. What it took beyond what was expected is learned by
 // lag.
-func (f *Fleet) readDone(now time.Time, id JobID, lag *predict.Lag) {
+func (f *Fleet) readDone(now time.Time, id JobID, lag *predict.PrefillLag) {
 	j, ok := f.jobs[id]
 	if !ok || !j.reading {
 		return
 	}
-	if r := j.reader.queue.find(id); r != nil && j.reader.reading.Known() {
-		lag.Learn(now, r.expected, now.Sub(r.sent))
+	if r := j.reader.queue.find(id); r != nil && j.reader.reading.Calibrated() {
+		lag.Observe(now, r.expected, now.Sub(r.sent))
 	}
 	j.reading = false
 	j.readAt = now
@@ -125,7 +125,7 @@
 // expected, beyond what those of others do. What delays the reads of all is the engines',
 // and is no reason to refuse callers once they are idle.
 func (f *Fleet) lag(now time.Time) time.Duration {
-	return max(0, f.ownLag.Now(now)-f.othersLag.Now(now))
+	return max(0, f.ownLag.Current(now)-f.othersLag.Current(now))
 }
 
 // FirstToken notes that the first token of a job has come. It returns true if
@@ -136,18 +136,18 @@
 		return false
 	}
 	if j.reading {
-		f.OwnReadDone(now, id)
+		f.LocalPrefillDone(now, id)
 		return true
 	}
 	if !j.readAt.IsZero() && j.decoder != nil && j.decoder != j.reader {
-		f.handover.Learn(j.backlog, max(0, now.Sub(j.readAt)-j.transfer))
+		f.handover.Observe(j.backlog, max(0, now.Sub(j.readAt)-j.transfer))
 	}
 	j.readAt = time.Time{}
 	return false
 }
 
 // Ended notes that a job no longer works anywhere.
-func (f *Fleet) Ended(now time.Time, id JobID) {
+func (f *Fleet) JobFinished(now time.Time, id JobID) {
 	j, ok := f.jobs[id]
 	if !ok {
 		return
@@ -176,7 +176,7 @@
 	f.forgotten = now
 	for id, j := range f.jobs {
 		if now.After(j.until) {
-			f.Ended(now, id)
+			f.JobFinished(now, id)
 		}
 	}
 }
--- a/internal/decide/place/misses.go
+++ b/internal/decide/place/misses.go
@@ -30,7 +30,7 @@
 
 func (m *misses) fade(now time.Time) {
 	if passed := now.Sub(m.at); passed > 0 {
-		left := predict.Left(passed, missesHalfLife)
+		left := predict.DecayFactor(passed, missesHalfLife)
 		m.all *= left
 		m.missed *= left
 		m.at = now
@@ -39,7 +39,7 @@
 
 // Misses returns the part of the answers, by length, that is expected to miss its
 // deadline at the engines that generate now; false while too few were placed.
-func (f *Fleet) Misses(now time.Time) (float64, bool) {
+func (f *Fleet) ExpectedMissRate(now time.Time) (float64, bool) {
 	f.misses.fade(now)
 	if f.misses.all < enoughAnswers {
 		return 0, false
@@ -50,10 +50,10 @@
 // countMiss takes in the chance that an answer which begins at an engine misses its
 // deadline.
 func (f *Fleet) countMiss(now time.Time, e *engine, a predict.Answer, left time.Duration) {
-	if a.Hint <= 0 || !f.answersKnown() {
+	if a.HintTokens <= 0 || !f.answersKnown() {
 		return
 	}
 	between := e.between(e.running(now))
-	events := float64(a.Done) + float64(f.lengths.Duration(a, between))/float64(max(1, between))
-	f.misses.add(now, events, f.lengths.Exceeds(a, between, left))
+	events := float64(a.EventsDone) + float64(f.lengths.RemainingTime(a, between))/float64(max(1, between))
+	f.misses.add(now, events, f.lengths.MissProbability(a, between, left))
 }
--- a/internal/decide/place/place.go
+++ b/internal/decide/place/place.go
@@ -69,22 +69,22 @@
 // Plan says where a request goes.
 type Plan struct {
 	// Reader reads the prompt. It is Decoder itself if no transfer is needed.
-	Reader, Decoder string
+	PrefillEngine, DecodeEngine string
 	// Kept is what Reader is thought to keep of the prompt, in tokens.
-	Kept int
+	CachedTokens int
 	// Wait and Read make up the expected time to the first token, with Lag for what
 	// this entry adds itself, and Extra for the way, the transfer and the decoder.
-	Wait, Read, Lag, Extra time.Duration
+	QueueDelay, PrefillTime, PrefillLag, Overhead time.Duration
 	// Answer is what it costs to generate the answer at Decoder, beside the first
 	// token: the chances that it and others there miss their deadlines, as a time.
 	// Admission does not rest on it.
-	Answer time.Duration
+	AnswerCost time.Duration
 	// Miss is the chance that the answer misses its deadline at Decoder.
-	Miss float64
+	MissProbability float64
 	// Short says that Reader has little to read of it compared to other prompts.
 	Short bool
 	// Learned says that the expectation rests on enough reads that were seen.
-	Learned bool
+	Calibrated bool
 }
 
 // Placement is a request that goes where its plan says.
@@ -93,14 +93,16 @@
 	Prompt request.Prompt
 	Plan   Plan
 	// Left is how long its caller waits at most.
-	Left time.Duration
+	Remaining time.Duration
 }
 
 // Expected is the expected time to the first token.
-func (p Plan) Expected() time.Duration { return p.Wait + p.Read + p.Lag + p.Extra }
+func (p Plan) ExpectedTTFT() time.Duration {
+	return p.QueueDelay + p.PrefillTime + p.PrefillLag + p.Overhead
+}
 
 // Split reports whether one engine reads and another generates.
-func (p Plan) Split() bool { return p.Reader != p.Decoder }
+func (p Plan) Split() bool { return p.PrefillEngine != p.DecodeEngine }
 
 // Fleet is the load of the engines of one service as this entry knows it. Its
 // methods are for one goroutine at a time.
@@ -108,17 +110,17 @@
 	engines map[string]*engine
 	order   []string
 	// readings are what is believed of reads, by the role of the engine.
-	readings map[backend.Role]*predict.Reading
+	readings map[backend.Role]*predict.PrefillModel
 	// handover is the time from the end of a read to the first token from
 	// another engine, transfer aside, over all engines.
-	handover *predict.Handover
+	handover *predict.HandoverModel
 	// steps is the time between two events of a stream.
-	steps *predict.Steps
+	steps *predict.DecodeModel
 	// lengths is how many events answers have.
-	lengths predict.Lengths
+	lengths predict.LengthModel
 	// ownLag and othersLag are how much longer the reads of this entry and of others
 	// take than expected.
-	ownLag, othersLag predict.Lag
+	ownLag, othersLag predict.PrefillLag
 	// unread is how many tokens engines read of a prompt on average.
 	unread float64
 	// misses is which answers are expected to miss their deadlines.
@@ -128,7 +130,7 @@
 	// sizes is how prompts of each length fare.
 	sizes sizesByRoute
 	// restored is what another process has learned of engines.
-	restored map[string]EngineState
+	restored map[string]EngineSnapshot
 	// perToken is the transfer time of one token's KV cache.
 	perToken time.Duration
 	jobs     map[JobID]*job
@@ -144,16 +146,16 @@
 		engines: make(map[string]*engine),
 		jobs:    make(map[JobID]*job),
 		sizes:   make(sizesByRoute),
-		readings: map[backend.Role]*predict.Reading{
-			backend.Prefill: predict.NewReading(1), backend.Decode: predict.NewReading(decodeSlowness),
+		readings: map[backend.Role]*predict.PrefillModel{
+			backend.Prefill: predict.NewPrefillModel(1), backend.Decode: predict.NewPrefillModel(decodeSlowness),
 		},
-		handover: predict.NewHandover(priorHandover),
-		steps:    predict.NewSteps(),
+		handover: predict.NewHandoverModel(priorHandover),
+		steps:    predict.NewDecodeModel(),
 	}
 }
 
 // SetTransfer sets the time to move one token's KV cache.
-func (f *Fleet) SetTransfer(perToken time.Duration) { f.perToken = perToken }
+func (f *Fleet) SetKVTransferTime(perToken time.Duration) { f.perToken = perToken }
 
 // SetEngines replaces the engines that may get work. One that stays keeps what
 // is known of it, unless it has started anew.
@@ -178,7 +180,7 @@
 
 // readingOf returns what is believed of reads by engines in a role. Those that
 // have no role read as those that generate: whatever they read, they answer.
-func (f *Fleet) readingOf(role backend.Role) *predict.Reading {
+func (f *Fleet) readingOf(role backend.Role) *predict.PrefillModel {
 	if role == backend.Prefill {
 		return f.readings[backend.Prefill]
 	}
@@ -188,7 +190,7 @@
 // Plan chooses the engines for a job and says whether it is let in; false if
 // there is none that could run it. Engines of other groups, and then those to be
 // avoided, are used if there are no others.
-func (f *Fleet) Plan(now time.Time, j Job, u Urgency) (Plan, Admission, bool) {
+func (f *Fleet) Plan(now time.Time, j Job, u Constraints) (Plan, Admission, bool) {
 	f.forgetOverdue(now)
 	for _, s := range planScopes {
 		if p, ok := f.plan(now, j, u, s); ok {
@@ -209,7 +211,7 @@
 	f.refusals += refusalGain * (value - f.refusals)
 }
 
-func (f *Fleet) plan(now time.Time, j Job, u Urgency, s scope) (Plan, bool) {
+func (f *Fleet) plan(now time.Time, j Job, u Constraints, s scope) (Plan, bool) {
 	var best Plan
 	bestCost := time.Duration(-1)
 	decoders := f.decoders(now, j, u, s)
@@ -222,7 +224,7 @@
 		if !ok {
 			continue
 		}
-		cost := p.Expected() + readWeight*p.Read + p.Answer
+		cost := p.ExpectedTTFT() + readWeight*p.PrefillTime + p.AnswerCost
 		if bestCost < 0 || cost < bestCost {
 			best, bestCost = p, cost
 		}
@@ -241,33 +243,33 @@
 }
 
 // planWith is the plan in which reader reads.
-func (f *Fleet) planWith(now time.Time, j Job, u Urgency, reader *engine, decoders decoderChoice) (Plan, bool) {
+func (f *Fleet) planWith(now time.Time, j Job, u Constraints, reader *engine, decoders decoderChoice) (Plan, bool) {
 	reader.expire(now)
-	kept := reader.cache.leading(j.Prompt.Parts)
-	work := predict.WorkOf(f.context(j.Prompt), kept)
+	kept := reader.cache.leading(j.Prompt.Segments)
+	work := predict.NewPrefillWork(f.context(j.Prompt), kept)
 	p := Plan{
-		Reader:  reader.ID,
-		Decoder: reader.ID,
-		Kept:    kept,
-		Wait:    reader.wait(now),
-		Read:    reader.cost(work),
-		Lag:     f.lag(now),
-		Extra:   reader.reading.Latency(),
-		Short:   work.Tokens <= shortPart*f.unread,
-		Learned: reader.reading.Known(),
+		PrefillEngine: reader.ID,
+		DecodeEngine:  reader.ID,
+		CachedTokens:  kept,
+		QueueDelay:    reader.wait(now),
+		PrefillTime:   reader.cost(work),
+		PrefillLag:    f.lag(now),
+		Overhead:      reader.reading.FixedLatency(),
+		Short:         work.Tokens <= shortPart*f.unread,
+		Calibrated:    reader.reading.Calibrated(),
 	}
 	if reader.Role != backend.Prefill {
-		p.Answer, p.Miss = f.answerCost(now, j, u, reader)
-		p.Answer += reader.delayCost(p.Read) + f.handoverCost(now, reader, p) + harm(j, reader)
+		p.AnswerCost, p.MissProbability = f.answerCost(now, j, u, reader)
+		p.AnswerCost += reader.delayCost(p.PrefillTime) + f.handoverCost(now, reader, p) + harm(j, reader)
 		return p, true
 	}
 	d, transfer, ok := decoders.bestFor(f, j, reader)
 	if !ok {
 		return p, false
 	}
-	p.Decoder = d.ID
-	p.Extra += transfer + d.handover
-	p.Answer, p.Miss = d.answer, d.miss
+	p.DecodeEngine = d.ID
+	p.Overhead += transfer + d.handover
+	p.AnswerCost, p.MissProbability = d.answer, d.miss
 	return p, true
 }
 
@@ -281,17 +283,17 @@
 }
 
 // Keeps notes parts that an engine said it keeps.
-func (f *Fleet) Keeps(id string, parts []request.Part) {
+func (f *Fleet) AddCachedSegments(id string, parts []request.Segment) {
 	if e, ok := f.engines[id]; ok {
 		e.cache.use(parts)
 	}
 }
 
 // Requests returns how many placements there were.
-func (f *Fleet) Requests() int64 { return f.placed }
+func (f *Fleet) Placements() int64 { return f.placed }
 
 // Work returns how many requests an engine reads or generates for.
-func (f *Fleet) Work(id string) int {
+func (f *Fleet) InFlight(id string) int {
 	e, ok := f.engines[id]
 	if !ok {
 		return 0
--- a/internal/decide/place/place_test.go
+++ b/internal/decide/place/place_test.go
@@ -25,8 +25,8 @@
 // prompt shares part id with others and has own tokens of its own.
 func prompt(id uint64, shared, own int, unique uint64) request.Prompt {
 	return request.Prompt{
-		Tokens: shared + own,
-		Parts:  []request.Part{{ID: id, Tokens: shared}, {ID: 1<<40 + unique, Tokens: own}},
+		Tokens:   shared + own,
+		Segments: []request.Segment{{ID: id, Tokens: shared}, {ID: 1<<40 + unique, Tokens: own}},
 	}
 }
 
@@ -49,12 +49,12 @@
 }
 
 // patient callers are let in whatever the wait.
-var patient = place.Urgency{Objective: time.Hour, Left: time.Hour}
+var patient = place.Constraints{Objective: time.Hour, Remaining: time.Hour}
 
 func plan(f *place.Fleet, now time.Time, j place.Job) place.Plan {
 	p, _, ok := f.Plan(now, j, patient)
 	Expect(ok).To(BeTrue())
-	f.Placed(now, place.Placement{ID: j.ID, Prompt: j.Prompt, Plan: p, Left: time.Minute})
+	f.AddPlacement(now, place.Placement{ID: j.ID, Prompt: j.Prompt, Plan: p, Remaining: time.Minute})
 	return p
 }
 
@@ -65,11 +65,11 @@
 	It("goes where the shared part is kept", func() {
 		f := taught(4, 4)
 		first := plan(f, at(0), place.Job{ID: 1, Prompt: prompt(7, 13_000, 3_000, 1)})
-		f.ReadDone(at(200), 1)
+		f.PrefillDone(at(200), 1)
 		second := plan(f, at(300), place.Job{ID: 2, Prompt: prompt(7, 13_000, 3_000, 2)})
-		Expect(second.Reader).To(Equal(first.Reader))
-		Expect(second.Kept).To(Equal(13_000))
-		Expect(second.Read).To(BeNumerically("<", first.Read/3))
+		Expect(second.PrefillEngine).To(Equal(first.PrefillEngine))
+		Expect(second.CachedTokens).To(Equal(13_000))
+		Expect(second.PrefillTime).To(BeNumerically("<", first.PrefillTime/3))
 	})
 
 	// One portfolio is asked for by everybody. Were its home the only one to
@@ -79,7 +79,7 @@
 		readers := map[string]bool{}
 		for i := range 40 {
 			p := plan(f, at(i), place.Job{ID: place.JobID(i + 1), Prompt: prompt(7, 13_000, 3_000, uint64(i))})
-			readers[p.Reader] = true
+			readers[p.PrefillEngine] = true
 		}
 		Expect(len(readers)).To(BeNumerically(">", 2))
 	})
@@ -91,7 +91,7 @@
 		long := plan(f, at(0), place.Job{ID: 1, Prompt: prompt(1, 0, 50_000, 1)})
 		for i := range 5 {
 			p := plan(f, at(1), place.Job{ID: place.JobID(10 + i), Prompt: prompt(uint64(i+2), 300, 1_000, uint64(i+2))})
-			Expect(p.Reader).NotTo(Equal(long.Reader))
+			Expect(p.PrefillEngine).NotTo(Equal(long.PrefillEngine))
 		}
 	})
 
@@ -100,7 +100,7 @@
 		exclude := func(id string) bool { return id == "e0" }
 		p, _, ok := f.Plan(at(0), place.Job{ID: 1, Prompt: prompt(1, 100, 100, 1), Exclude: exclude}, patient)
 		Expect(ok).To(BeTrue())
-		Expect(p.Reader).To(Equal("e1"))
+		Expect(p.PrefillEngine).To(Equal("e1"))
 		_, _, ok = f.Plan(at(0), place.Job{ID: 1, Prompt: prompt(1, 100, 100, 1), Exclude: func(string) bool { return true }}, patient)
 		Expect(ok).To(BeFalse())
 	})
@@ -113,7 +113,7 @@
 		f.Avoid("e0", at(500))
 		for i := range 20 {
 			p := plan(f, at(i), place.Job{ID: place.JobID(i + 1), Prompt: prompt(uint64(i), 0, 5_000, uint64(i))})
-			Expect(p.Reader).NotTo(Equal("e0"))
+			Expect(p.PrefillEngine).NotTo(Equal("e0"))
 		}
 		f.Avoid("e1", at(500))
 		f.Avoid("e2", at(500))
@@ -131,10 +131,10 @@
 	// read; not knowing it, gateways would have all of it read again elsewhere.
 	It("counts on what engines say they keep", func() {
 		f := newFleet(3, 1)
-		f.Keeps("e2", []request.Part{{ID: 7, Tokens: 13_000}})
+		f.AddCachedSegments("e2", []request.Segment{{ID: 7, Tokens: 13_000}})
 		p := plan(f, at(0), place.Job{ID: 1, Prompt: prompt(7, 13_000, 3_000, 1)})
-		Expect(p.Reader).To(Equal("e2"))
-		Expect(p.Kept).To(Equal(13_000))
+		Expect(p.PrefillEngine).To(Equal("e2"))
+		Expect(p.CachedTokens).To(Equal(13_000))
 	})
 
 	// An engine crashes and starts again under its id. What it kept is gone;
@@ -142,28 +142,28 @@
 	It("does not count on the cache of an engine's earlier start", func() {
 		f := newFleet(2, 1)
 		p := plan(f, at(0), place.Job{ID: 1, Prompt: prompt(7, 13_000, 3_000, 1)})
-		f.ReadDone(at(200), 1)
+		f.PrefillDone(at(200), 1)
 		list := engines(2, 1)
 		for i := range list {
 			list[i].Incarnation = 2
 		}
 		f.SetEngines(list)
 		again, _, _ := f.Plan(at(300), place.Job{ID: 2, Prompt: prompt(7, 13_000, 3_000, 2)}, patient)
-		Expect(again.Kept).To(BeZero())
-		Expect(p.Reader).NotTo(BeEmpty())
+		Expect(again.CachedTokens).To(BeZero())
+		Expect(p.PrefillEngine).NotTo(BeEmpty())
 	})
 })
 
 var _ = Describe("Belief", func() {
 	It("tells operators what was learned of an engine", func() {
-		b, ok := taught(1, 1).Belief(at(0), "e0")
+		b, ok := taught(1, 1).EngineEstimate(at(0), "e0")
 		Expect(ok).To(BeTrue())
 		Expect(b.Reads).To(BeNumerically(">", 50))
 		Expect(b.TokensPerMS).To(BeNumerically("~", 112, 25))
 		Expect(b.LatencyMS).To(BeNumerically("~", 36, 10))
 		Expect(b.Slowness).To(BeNumerically("~", 1, 0.2))
 		Expect(b.WaitMS).To(BeZero())
-		_, ok = taught(1, 1).Belief(at(0), "e9")
+		_, ok = taught(1, 1).EngineEstimate(at(0), "e9")
 		Expect(ok).To(BeFalse())
 	})
 })
@@ -177,13 +177,13 @@
 		exclude := func(engine string) bool { return engine == "e1" }
 		j := place.Job{ID: 1, Prompt: prompt(1, 0, 9_000, 1), Exclude: exclude}
 		p, _, _ := f.Plan(at(0), j, patient)
-		Expect(p.Reader).To(Equal("e0"))
-		f.Placed(at(0), place.Placement{ID: 1, Prompt: j.Prompt, Plan: p, Left: time.Minute})
+		Expect(p.PrefillEngine).To(Equal("e0"))
+		f.AddPlacement(at(0), place.Placement{ID: 1, Prompt: j.Prompt, Plan: p, Remaining: time.Minute})
 		for n := range 20 {
 			p := plan(f, at(500+n), place.Job{ID: place.JobID(10 + n), Prompt: prompt(uint64(n+2), 0, 2_000, uint64(n+2))})
-			Expect(p.Reader).NotTo(Equal("e0"))
-			f.ReadDone(at(500+n), place.JobID(10+n))
-			f.Ended(at(500+n), place.JobID(10+n))
+			Expect(p.PrefillEngine).NotTo(Equal("e0"))
+			f.PrefillDone(at(500+n), place.JobID(10+n))
+			f.JobFinished(at(500+n), place.JobID(10+n))
 		}
 	})
 })
@@ -199,9 +199,9 @@
 		for ms := 0; ms < seconds*1_000; ms += 5 {
 			j := place.Job{ID: place.JobID(ms + 1), Prompt: prompt(uint64(ms), 0, 4_000, uint64(ms))}
 			p, _, _ := f.Plan(at(ms), j, patient)
-			f.Placed(at(ms), place.Placement{ID: j.ID, Prompt: j.Prompt, Plan: p, Left: time.Minute})
+			f.AddPlacement(at(ms), place.Placement{ID: j.ID, Prompt: j.Prompt, Plan: p, Remaining: time.Minute})
 			if !p.Split() {
-				own += p.Read
+				own += p.PrefillTime
 			}
 		}
 		Expect(own).To(BeNumerically(">", seconds*time.Second/5))
@@ -222,19 +222,19 @@
 			id++
 			j := place.Job{ID: id, Prompt: prompt(uint64(id), 0, 4_000, uint64(id)), Exclude: exclude}
 			p, _, _ := f.Plan(at(ms), j, patient)
-			f.Placed(at(ms), place.Placement{ID: id, Prompt: j.Prompt, Plan: p, Left: time.Minute})
+			f.AddPlacement(at(ms), place.Placement{ID: id, Prompt: j.Prompt, Plan: p, Remaining: time.Minute})
 			return p
 		}
 		read(0, nil)
 		as(backend.Prefill)
 		for n := range 200 {
 			read(n, func(engine string) bool { return engine == "e0" })
-			f.Ended(at(n), id)
+			f.JobFinished(at(n), id)
 		}
 		as(backend.Decode)
 		own := 0
 		for n := range 100 {
-			if p := read(1_000+10*n, nil); p.Reader == "e1" {
+			if p := read(1_000+10*n, nil); p.PrefillEngine == "e1" {
 				own++
 			}
 		}
@@ -273,31 +273,31 @@
 			}
 			if last = ask(ms, nil); last.Split() {
 				read := at(ms).Add(readTime(true, 3_000))
-				f.ReadDone(read, id)
+				f.PrefillDone(read, id)
 				f.FirstToken(read.Add(seen), id)
-				f.Ended(read.Add(seen), id)
+				f.JobFinished(read.Add(seen), id)
 			}
 			for n, id := range own {
 				ended := at(ms).Add(readTime(false, 3_000*(n+1)))
-				f.ReadDone(ended, id)
-				f.Ended(ended, id)
+				f.PrefillDone(ended, id)
+				f.JobFinished(ended, id)
 			}
 		}
 		Expect(last.Split()).To(BeTrue())
-		Expect(last.Expected()).To(BeNumerically("~", readTime(true, 3_000)+seen, 30*time.Millisecond))
+		Expect(last.ExpectedTTFT()).To(BeNumerically("~", readTime(true, 3_000)+seen, 30*time.Millisecond))
 	})
 })
 
 var _ = Describe("groups", func() {
 	It("are one where a few dozen gateways can hear of everything", func() {
-		Expect(place.Groups(20, 12)).To(BeEquivalentTo(1))
-		Expect(place.Groups(63, 1_000)).To(BeEquivalentTo(1))
-		Expect(place.Groups(350, 600)).To(BeEquivalentTo(10))
+		Expect(place.GroupCount(20, 12)).To(BeEquivalentTo(1))
+		Expect(place.GroupCount(63, 1_000)).To(BeEquivalentTo(1))
+		Expect(place.GroupCount(350, 600)).To(BeEquivalentTo(10))
 	})
 
 	It("have engines of both roles each", func() {
-		Expect(place.Groups(350, 12)).To(BeEquivalentTo(1))
-		Expect(place.Groups(350, 100)).To(BeEquivalentTo(4))
+		Expect(place.GroupCount(350, 12)).To(BeEquivalentTo(1))
+		Expect(place.GroupCount(350, 100)).To(BeEquivalentTo(4))
 	})
 
 	It("place on engines of their own, which no other group does", func() {
@@ -306,7 +306,7 @@
 		for n := range 1_000 {
 			group := place.Group{Index: uint64(n) % 4, Count: 4}
 			p := plan(f, at(n), place.Job{ID: place.JobID(n + 1), Prompt: prompt(uint64(n), 0, 5_000, uint64(n)), Group: group})
-			for _, id := range []string{p.Reader, p.Decoder} {
+			for _, id := range []string{p.PrefillEngine, p.DecodeEngine} {
 				if users[id] == nil {
 					users[id] = map[uint64]bool{}
 				}
@@ -327,13 +327,13 @@
 		var used []string
 		for n := range 30 {
 			p := plan(f, at(n), place.Job{ID: place.JobID(n + 1), Prompt: prompt(uint64(n), 0, 5_000, uint64(n)), Group: own})
-			used = append(used, p.Reader, p.Decoder)
+			used = append(used, p.PrefillEngine, p.DecodeEngine)
 		}
 		for _, id := range used {
 			f.Avoid(id, at(60_000))
 		}
 		p := plan(f, at(1_000), place.Job{ID: 100, Prompt: prompt(1, 0, 5_000, 1), Group: own})
-		Expect(used).NotTo(ContainElement(p.Reader))
+		Expect(used).NotTo(ContainElement(p.PrefillEngine))
 	})
 })
 
@@ -343,14 +343,14 @@
 		p := plan(f, at(0), place.Job{ID: 1, Prompt: prompt(1, 0, 50_000, 1)})
 		waiting := func(ms int) time.Duration {
 			q, _, _ := f.Plan(at(ms), place.Job{ID: 2, Prompt: prompt(2, 0, 60_000, 2), Exclude: func(id string) bool { return false }}, patient)
-			if q.Reader != p.Reader {
+			if q.PrefillEngine != p.PrefillEngine {
 				return 0
 			}
-			return q.Wait
+			return q.QueueDelay
 		}
-		Expect(waiting(0)).To(Equal(p.Read))
-		Expect(waiting(100)).To(Equal(p.Read - 100*time.Millisecond))
-		f.ReadDone(at(200), 1)
+		Expect(waiting(0)).To(Equal(p.PrefillTime))
+		Expect(waiting(100)).To(Equal(p.PrefillTime - 100*time.Millisecond))
+		f.PrefillDone(at(200), 1)
 		Expect(waiting(200)).To(BeZero())
 	})
 
@@ -360,7 +360,7 @@
 		f := newFleet(1, 1)
 		plan(f, at(0), place.Job{ID: 1, Prompt: prompt(1, 0, 50_000, 1)})
 		q, _, _ := f.Plan(at(10_000), place.Job{ID: 2, Prompt: prompt(2, 0, 1_000, 2)}, patient)
-		Expect(q.Wait).To(BeZero())
+		Expect(q.QueueDelay).To(BeZero())
 	})
 
 	// The datagram that tells the end of an answer is lost, on a bad day one in
@@ -371,13 +371,13 @@
 		for i := range 20 {
 			j := place.Job{ID: place.JobID(i + 1), Prompt: prompt(1, 0, 1_000, uint64(i))}
 			p, _, _ := f.Plan(at(i), j, patient)
-			f.Placed(at(i), place.Placement{ID: j.ID, Prompt: j.Prompt, Plan: p, Left: 5 * time.Second})
-			f.ReadDone(at(i+1), j.ID)
+			f.AddPlacement(at(i), place.Placement{ID: j.ID, Prompt: j.Prompt, Plan: p, Remaining: 5 * time.Second})
+			f.PrefillDone(at(i+1), j.ID)
 		}
 		f.Plan(at(4_000), place.Job{ID: 100, Prompt: prompt(2, 0, 1_000, 2)}, patient)
-		Expect(f.Work("e1")).To(Equal(20))
+		Expect(f.InFlight("e1")).To(Equal(20))
 		f.Plan(at(9_000), place.Job{ID: 100, Prompt: prompt(2, 0, 1_000, 2)}, patient)
-		Expect(f.Work("e1")).To(BeZero())
+		Expect(f.InFlight("e1")).To(BeZero())
 	})
 
 	// An engine crashes with an answer running and starts again under its id.
@@ -386,14 +386,14 @@
 	It("keeps the answers of two starts of an engine apart", func() {
 		f := newFleet(0, 1)
 		plan(f, at(0), place.Job{ID: 1, Prompt: prompt(1, 0, 1_000, 1)})
-		f.ReadDone(at(10), 1)
+		f.PrefillDone(at(10), 1)
 		again := engines(0, 1)
 		again[0].Incarnation = 2
 		f.SetEngines(again)
 		plan(f, at(20), place.Job{ID: 2, Prompt: prompt(2, 0, 1_000, 2)})
-		f.ReadDone(at(30), 2)
-		f.Ended(at(40), 1)
-		Expect(f.Work("e0")).To(Equal(1))
+		f.PrefillDone(at(30), 2)
+		f.JobFinished(at(40), 1)
+		Expect(f.InFlight("e0")).To(Equal(1))
 	})
 
 	// The decoder that a plan named refuses and another takes the answer. Were
@@ -402,16 +402,16 @@
 		f := newFleet(1, 2)
 		j := place.Job{ID: 1, Prompt: prompt(1, 0, 1_000, 1)}
 		p := plan(f, at(0), j)
-		f.ReadDone(at(10), 1)
-		refused := p.Decoder
+		f.PrefillDone(at(10), 1)
+		refused := p.DecodeEngine
 		j.Exclude = func(id string) bool { return id == refused }
-		other, ok := f.OtherDecoder(at(20), j, patient, p)
+		other, ok := f.AlternateDecodeEngine(at(20), j, patient, p)
 		Expect(ok).To(BeTrue())
-		f.Moved(at(20), 1, other.Decoder)
-		Expect(f.Work(refused)).To(BeZero())
-		Expect(f.Work(other.Decoder)).To(Equal(1))
-		f.Ended(at(30), 1)
-		Expect(f.Work(other.Decoder)).To(BeZero())
+		f.SetDecodeEngine(at(20), 1, other.DecodeEngine)
+		Expect(f.InFlight(refused)).To(BeZero())
+		Expect(f.InFlight(other.DecodeEngine)).To(Equal(1))
+		f.JobFinished(at(30), 1)
+		Expect(f.InFlight(other.DecodeEngine)).To(BeZero())
 	})
 })
 
@@ -438,16 +438,16 @@
 		if !ok {
 			continue
 		}
-		f.Placed(now, place.Placement{ID: id, Prompt: j.Prompt, Plan: p, Left: time.Minute})
+		f.AddPlacement(now, place.Placement{ID: id, Prompt: j.Prompt, Plan: p, Remaining: time.Minute})
 		read := now.Add(readTime(p.Split(), j.Prompt.Tokens))
-		f.ReadDone(read, id)
-		f.Ended(read, id)
+		f.PrefillDone(read, id)
+		f.JobFinished(read, id)
 	}
 	return f
 }
 
 var _ = Describe("admission", func() {
-	urgent := place.Urgency{Objective: 500 * time.Millisecond, Left: 5 * time.Second}
+	urgent := place.Constraints{Objective: 500 * time.Millisecond, Remaining: 5 * time.Second}
 
 	// A gateway has just started and has seen no engine at work. Refused by what
 	// it guesses, callers would be sent away from an idle fleet; and as nothing
@@ -459,7 +459,7 @@
 			p, a, ok := f.Plan(at(n), j, urgent)
 			Expect(ok).To(BeTrue())
 			Expect(a.Admit).To(BeTrue())
-			f.Placed(at(n), place.Placement{ID: j.ID, Prompt: j.Prompt, Plan: p, Left: time.Minute})
+			f.AddPlacement(at(n), place.Placement{ID: j.ID, Prompt: j.Prompt, Plan: p, Remaining: time.Minute})
 		}
 	})
 
@@ -483,7 +483,7 @@
 			p, a, ok := f.Plan(at(ms), j, urgent)
 			Expect(ok).To(BeTrue())
 			if a.Admit {
-				f.Placed(at(ms), place.Placement{ID: id, Prompt: j.Prompt, Plan: p, Left: time.Minute})
+				f.AddPlacement(at(ms), place.Placement{ID: id, Prompt: j.Prompt, Plan: p, Remaining: time.Minute})
 			}
 			return a
 		}
@@ -495,8 +495,8 @@
 			if a := ask(n, ms); n > reads/2 && a.Admit && a.Priority == place.OnTimePriority {
 				expectedInTime++
 			}
-			f.ReadDone(at(ms), place.JobID(n-late/every))
-			f.Ended(at(ms), place.JobID(n-late/every))
+			f.PrefillDone(at(ms), place.JobID(n-late/every))
+			f.JobFinished(at(ms), place.JobID(n-late/every))
 		}
 		Expect(expectedInTime).To(BeZero())
 	})
@@ -524,7 +524,7 @@
 		for n := range 3 {
 			plan(f, at(0), place.Job{ID: place.JobID(n + 1), Prompt: prompt(uint64(n), 0, 6_000, uint64(n))})
 		}
-		caller := place.Urgency{Objective: 100 * time.Millisecond, Left: 15 * time.Second}
+		caller := place.Constraints{Objective: 100 * time.Millisecond, Remaining: 15 * time.Second}
 		priority := func(id uint64, tokens int) int {
 			_, a, _ := f.Plan(at(0), place.Job{ID: place.JobID(id), Prompt: prompt(id, 0, tokens, id)}, caller)
 			Expect(a.Admit).To(BeTrue())
@@ -547,7 +547,7 @@
 			now := at(ms)
 			for id, r := range ends {
 				if !r.done.After(now) {
-					f.Ended(now, id)
+					f.JobFinished(now, id)
 					delete(ends, id)
 				}
 			}
@@ -562,13 +562,13 @@
 			if !a.Admit {
 				refused++
 				Expect(a.RetryAfter).To(BeNumerically(">=", 100*time.Millisecond))
-				Expect(a.RetryAfter).To(BeNumerically("<=", urgent.Left/3))
+				Expect(a.RetryAfter).To(BeNumerically("<=", urgent.Remaining/3))
 				continue
 			}
 			let++
-			f.Placed(now, place.Placement{ID: id, Prompt: j.Prompt, Plan: p, Left: urgent.Left})
-			ends[id] = running{done: now.Add(p.Expected())}
-			if p.Expected() <= urgent.Objective {
+			f.AddPlacement(now, place.Placement{ID: id, Prompt: j.Prompt, Plan: p, Remaining: urgent.Remaining})
+			ends[id] = running{done: now.Add(p.ExpectedTTFT())}
+			if p.ExpectedTTFT() <= urgent.Objective {
 				inTime++
 			}
 		}
@@ -588,7 +588,7 @@
 		for n := range 10 {
 			j := place.Job{ID: place.JobID(n + 1), Prompt: prompt(uint64(n), 0, 9_000, uint64(n))}
 			p, _, _ := f.Plan(at(0), j, patient)
-			f.Placed(at(0), place.Placement{ID: j.ID, Prompt: j.Prompt, Plan: p, Left: time.Minute})
+			f.AddPlacement(at(0), place.Placement{ID: j.ID, Prompt: j.Prompt, Plan: p, Remaining: time.Minute})
 		}
 		var waits []time.Duration
 		for n := range 60 {
@@ -597,12 +597,12 @@
 			waits = append(waits, a.RetryAfter)
 		}
 		Expect(waits[0]).To(BeNumerically("<", 700*time.Millisecond))
-		Expect(waits[59]).To(Equal(urgent.Left / 3))
+		Expect(waits[59]).To(Equal(urgent.Remaining / 3))
 	})
 
 	It("refuses at once what its deadline would cut", func() {
 		_, a, _ := taught(1, 1).Plan(at(0), place.Job{ID: 1, Prompt: prompt(1, 0, 53_000, 1)},
-			place.Urgency{Objective: 100 * time.Millisecond, Left: 300 * time.Millisecond})
+			place.Constraints{Objective: 100 * time.Millisecond, Remaining: 300 * time.Millisecond})
 		Expect(a.Admit).To(BeFalse())
 	})
 })
@@ -612,7 +612,7 @@
 	// By the engines alone its callers seem to be in time; they all are late, while
 	// other entries would serve them.
 	It("refuses callers that it would answer late", func() {
-		urgent := place.Urgency{Objective: 500 * time.Millisecond, Left: 5 * time.Second}
+		urgent := place.Constraints{Objective: 500 * time.Millisecond, Remaining: 5 * time.Second}
 		type end struct {
 			id place.JobID
 			at time.Time
@@ -624,17 +624,17 @@
 			for n := range 200 {
 				now := at(100 * n)
 				for len(ends) > 0 && !ends[0].at.After(now) {
-					f.OwnReadDone(ends[0].at, ends[0].id)
-					f.Ended(ends[0].at, ends[0].id)
+					f.LocalPrefillDone(ends[0].at, ends[0].id)
+					f.JobFinished(ends[0].at, ends[0].id)
 					ends = ends[1:]
 				}
 				j := place.Job{ID: place.JobID(n + 1), Prompt: prompt(uint64(n), 0, 4_000, uint64(n))}
 				p, a, _ := f.Plan(now, j, urgent)
-				f.Placed(now, place.Placement{ID: j.ID, Prompt: j.Prompt, Plan: p, Left: time.Minute})
+				f.AddPlacement(now, place.Placement{ID: j.ID, Prompt: j.Prompt, Plan: p, Remaining: time.Minute})
 				read := now.Add(readTime(p.Split(), j.Prompt.Tokens))
 				if n%2 == 0 {
-					f.ReadDone(read, j.ID)
-					f.Ended(read, j.ID)
+					f.PrefillDone(read, j.ID)
+					f.JobFinished(read, j.ID)
 					continue
 				}
 				ends = append(ends, end{id: j.ID, at: read.Add(linkWait)})
@@ -661,16 +661,16 @@
 		for n := range reads {
 			id := place.JobID(n + 1)
 			if n%8 == 0 {
-				f.OwnReadDone(at(10*n+late), id)
+				f.LocalPrefillDone(at(10*n+late), id)
 			} else {
-				f.ReadDone(at(10*n+late), id)
+				f.PrefillDone(at(10*n+late), id)
 			}
-			f.Ended(at(10*n+late), id)
+			f.JobFinished(at(10*n+late), id)
 		}
-		urgent := place.Urgency{Objective: 200 * time.Millisecond, Left: 2 * time.Second}
+		urgent := place.Constraints{Objective: 200 * time.Millisecond, Remaining: 2 * time.Second}
 		p, a, _ := f.Plan(at(1_500), place.Job{ID: 1_000, Prompt: prompt(1_000, 0, 1_000, 1_000)}, urgent)
-		Expect(p.Wait).To(BeZero())
-		Expect(a.Admit).To(BeTrue(), "expected %v", p.Expected())
+		Expect(p.QueueDelay).To(BeZero())
+		Expect(a.Admit).To(BeTrue(), "expected %v", p.ExpectedTTFT())
 	})
 })
 
@@ -684,27 +684,27 @@
 		j := place.Job{ID: 1, Prompt: prompt(7, 13_000, 2_500, 1)}
 		failed := plan(f, at(0), j)
 		Expect(failed.Split()).To(BeTrue())
-		f.Ended(at(2), j.ID)
-		j.Exclude = func(engine string) bool { return engine == failed.Reader }
-		Expect(plan(f, at(2), j).Kept).To(BeZero())
-		f.Ended(at(3), j.ID)
+		f.JobFinished(at(2), j.ID)
+		j.Exclude = func(engine string) bool { return engine == failed.PrefillEngine }
+		Expect(plan(f, at(2), j).CachedTokens).To(BeZero())
+		f.JobFinished(at(3), j.ID)
 		again, _, ok := f.Plan(at(3), place.Job{ID: 3, Prompt: j.Prompt}, patient)
 		Expect(ok).To(BeTrue())
-		Expect(again.Kept).To(BeZero())
+		Expect(again.CachedTokens).To(BeZero())
 	})
 
 	// One of two requests for the same portfolio fails while the other is read.
 	It("leaves what the engine kept before", func() {
 		f := taught(1, 1)
 		first := plan(f, at(0), place.Job{ID: 1, Prompt: prompt(7, 13_000, 3_000, 1)})
-		f.ReadDone(at(200), 1)
+		f.PrefillDone(at(200), 1)
 		f.FirstToken(at(220), 1)
-		f.Ended(at(300), 1)
+		f.JobFinished(at(300), 1)
 		plan(f, at(400), place.Job{ID: 2, Prompt: prompt(7, 13_000, 3_000, 2)})
-		f.Ended(at(402), 2)
+		f.JobFinished(at(402), 2)
 		next := plan(f, at(500), place.Job{ID: 3, Prompt: prompt(7, 13_000, 3_000, 3)})
-		Expect(next.Reader).To(Equal(first.Reader))
-		Expect(next.Kept).To(Equal(13_000))
+		Expect(next.PrefillEngine).To(Equal(first.PrefillEngine))
+		Expect(next.CachedTokens).To(Equal(13_000))
 	})
 
 	// The answer to a read is lost after the engine made it. The next prompt with the
@@ -713,11 +713,11 @@
 		f := taught(1, 1)
 		j := place.Job{ID: 1, Prompt: prompt(7, 13_000, 2_500, 1)}
 		lost := plan(f, at(0), j)
-		f.Ended(at(int(lost.Expected().Milliseconds())+50), j.ID)
+		f.JobFinished(at(int(lost.ExpectedTTFT().Milliseconds())+50), j.ID)
 		next, _, ok := f.Plan(at(1_000), place.Job{ID: 2, Prompt: prompt(7, 13_000, 2_500, 2)}, patient)
 		Expect(ok).To(BeTrue())
-		Expect(next.Reader).To(Equal(lost.Reader))
-		Expect(next.Kept).To(Equal(13_000))
+		Expect(next.PrefillEngine).To(Equal(lost.PrefillEngine))
+		Expect(next.CachedTokens).To(Equal(13_000))
 	})
 })
 
@@ -726,18 +726,18 @@
 	It("goes to the engine with the fewest answers", func() {
 		f := taught(1, 3)
 		for n := range 10 {
-			f.Placed(at(0), place.Placement{
-				ID: place.JobID(100 + n), Plan: place.Plan{Reader: "e0", Decoder: []string{"e1", "e2"}[n%2]}, Left: time.Minute,
+			f.AddPlacement(at(0), place.Placement{
+				ID: place.JobID(100 + n), Plan: place.Plan{PrefillEngine: "e0", DecodeEngine: []string{"e1", "e2"}[n%2]}, Remaining: time.Minute,
 			})
-			f.ReadDone(at(0), place.JobID(100+n))
+			f.PrefillDone(at(0), place.JobID(100+n))
 		}
 		j := place.Job{ID: 1, Prompt: prompt(1, 0, 1_000, 1), Suspect: true}
-		f.Keeps("e1", j.Prompt.Parts)
+		f.AddCachedSegments("e1", j.Prompt.Segments)
 		p, _, ok := f.Plan(at(10), j, patient)
 		Expect(ok).To(BeTrue())
-		Expect(p.Decoder).To(Equal("e3"))
+		Expect(p.DecodeEngine).To(Equal("e3"))
 		j.Suspect = false
 		p, _, _ = f.Plan(at(10), j, patient)
-		Expect(p.Decoder).To(Equal("e1"))
+		Expect(p.DecodeEngine).To(Equal("e1"))
 	})
 })
--- a/internal/decide/place/queue.go
+++ b/internal/decide/place/queue.go
@@ -10,10 +10,10 @@
 // read is one prompt that an engine reads.
 type read struct {
 	job  JobID
-	work predict.Work
+	work predict.PrefillWork
 	// before is the work that stood before its end when it was sent, its own
 	// included, and expected how long it was to take.
-	before   predict.Work
+	before   predict.PrefillWork
 	expected time.Duration
 	sent     time.Time
 	// poisoned says that the time it takes tells nothing of the engine: it
@@ -25,7 +25,7 @@
 type queue struct {
 	reads []*read
 	// work is that of all reads, longest that of the largest one.
-	work, longest predict.Work
+	work, longest predict.PrefillWork
 }
 
 func (q *queue) empty() bool { return len(q.reads) == 0 }
@@ -52,7 +52,7 @@
 // recount adds the work up anew: differences of large and small numbers would
 // leave a rest.
 func (q *queue) recount() {
-	q.work, q.longest = predict.Work{}, predict.Work{}
+	q.work, q.longest = predict.PrefillWork{}, predict.PrefillWork{}
 	for _, r := range q.reads {
 		q.count(r)
 	}
--- a/internal/decide/place/resumed_test.go
+++ b/internal/decide/place/resumed_test.go
@@ -29,7 +29,7 @@
 	lost := p.running
 	p.running = nil
 	for _, n := range lost {
-		p.fleet.Ended(p.now, n.id)
+		p.fleet.JobFinished(p.now, n.id)
 	}
 	p.now = p.now.Add(downTime)
 	p.rng.Shuffle(len(lost), func(i, j int) { lost[i], lost[j] = lost[j], lost[i] })
@@ -50,7 +50,7 @@
 	for _, e := range engines(4, 4) {
 		list = append(list, roles.Engine{ID: e.ID, DataCentre: e.DataCentre, Role: e.Role})
 	}
-	share := roles.DecodeShare(list, roles.Answers{Longest: int(answerDeadline / (250 * time.Millisecond))})
+	share := roles.DecodeShare(list, roles.AnswerStats{MaxEvents: int(answerDeadline / (250 * time.Millisecond))})
 	decoders := 4
 	for _, m := range roles.Decide(list, share) {
 		if m.Role == backend.Prefill {
@@ -91,12 +91,12 @@
 	answers := func() *place.Fleet {
 		f := taught(1, 1)
 		for n := range 200 {
-			f.Answered(100, 90+n%20)
+			f.ObserveAnswerLength(100, 90+n%20)
 			id := place.JobID(1<<40 + n)
-			f.Placed(at(0), place.Placement{ID: id, Plan: place.Plan{Reader: "e0", Decoder: "e1"}, Left: time.Minute})
-			f.ReadDone(at(0), id)
-			f.Event(at(0), id, 50*time.Millisecond)
-			f.Ended(at(0), id)
+			f.AddPlacement(at(0), place.Placement{ID: id, Plan: place.Plan{PrefillEngine: "e0", DecodeEngine: "e1"}, Remaining: time.Minute})
+			f.PrefillDone(at(0), id)
+			f.ObserveInterEventTime(at(0), id, 50*time.Millisecond)
+			f.JobFinished(at(0), id)
 		}
 		return f
 	}
@@ -110,14 +110,14 @@
 		f := answers()
 		fresh, _, _ := f.Plan(at(0), resumed(0), patient)
 		again, _, _ := f.Plan(at(0), resumed(10_000), patient)
-		Expect(again.Read).To(BeNumerically(">", 2*fresh.Read))
+		Expect(again.PrefillTime).To(BeNumerically(">", 2*fresh.PrefillTime))
 	})
 
 	// Begun all the same, it holds a place until its caller leaves, and delays answers
 	// that can end.
 	It("is refused at once if it cannot end before its deadline", func() {
 		f := answers()
-		second := place.Urgency{Objective: time.Second, Left: time.Second}
+		second := place.Constraints{Objective: time.Second, Remaining: time.Second}
 		_, a, ok := f.Plan(at(0), resumed(10_000), second)
 		Expect(ok).To(BeTrue())
 		Expect(a.Admit).To(BeFalse())
@@ -128,7 +128,7 @@
 
 	// It may have run, so that its caller can only be told that it failed.
 	It("is not refused once a part of it came from this entry", func() {
-		u := place.Urgency{Objective: time.Second, Left: time.Second, Committed: true}
+		u := place.Constraints{Objective: time.Second, Remaining: time.Second, Committed: true}
 		_, a, _ := answers().Plan(at(0), resumed(10_000), u)
 		Expect(a.Admit).To(BeTrue())
 	})
@@ -141,20 +141,20 @@
 	wrong := newFleet(1, 1)
 	for n := range 500 {
 		id := place.JobID(n)
-		wrong.Placed(at(n), place.Placement{
-			ID: id, Prompt: prompt(uint64(n), 0, 5_000, uint64(n)), Plan: place.Plan{Reader: "e0", Decoder: "e1"}, Left: time.Minute,
+		wrong.AddPlacement(at(n), place.Placement{
+			ID: id, Prompt: prompt(uint64(n), 0, 5_000, uint64(n)), Plan: place.Plan{PrefillEngine: "e0", DecodeEngine: "e1"}, Remaining: time.Minute,
 		})
-		wrong.ReadDone(at(n), id)
-		wrong.Event(at(n), id, 50*time.Millisecond)
-		wrong.Answered(100, 100)
-		wrong.Ended(at(n), id)
+		wrong.PrefillDone(at(n), id)
+		wrong.ObserveInterEventTime(at(n), id, 50*time.Millisecond)
+		wrong.ObserveAnswerLength(100, 100)
+		wrong.JobFinished(at(n), id)
 	}
-	state, ok := wrong.State()
+	state, ok := wrong.Snapshot()
 	Expect(ok).To(BeTrue())
 	before, _, _ := newFleet(1, 1).Plan(at(0), place.Job{ID: 1, Prompt: prompt(1, 0, 5_000, 1)}, patient)
 	f := newFleet(1, 1)
 	Expect(f.Restore(state)).To(Succeed())
 	after, _, _ := f.Plan(at(0), place.Job{ID: 1, Prompt: prompt(1, 0, 5_000, 1)}, patient)
-	Expect(after.Read).To(Equal(before.Read))
-	Expect(after.Learned).To(BeFalse())
+	Expect(after.PrefillTime).To(Equal(before.PrefillTime))
+	Expect(after.Calibrated).To(BeFalse())
 }
--- a/internal/decide/place/size.go
+++ b/internal/decide/place/size.go
@@ -75,7 +75,7 @@
 	if passed <= 0 {
 		return
 	}
-	left := predict.Left(passed, shareHalfLife)
+	left := predict.DecayFactor(passed, shareHalfLife)
 	r.all.fade(left)
 	for i := range r.long {
 		r.long[i].fade(left)
@@ -114,7 +114,7 @@
 // It answers bursts that last. Short prompts are let in until the wait is just short
 // enough for them, so that there is never time for a long one: its caller is refused
 // whenever it comes. One notices by refusals that grow with the length of the prompt.
-func (f *Fleet) admitBySize(now time.Time, j Job, p Plan, u Urgency, a Admission) Admission {
+func (f *Fleet) admitBySize(now time.Time, j Job, p Plan, u Constraints, a Admission) Admission {
 	if j.Prompt.Tokens <= 0 {
 		return a
 	}
--- a/internal/decide/place/size_test.go
+++ b/internal/decide/place/size_test.go
@@ -77,7 +77,7 @@
 	p.jobs++
 	id := p.jobs
 	j := place.Job{ID: id, Prompt: prompt(uint64(id), 0, c.tokens, uint64(id)), Route: "checks"}
-	plan, admission, ok := p.fleet.Plan(p.now, j, place.Urgency{Objective: checkObjective - (checkPatience - left), Left: left})
+	plan, admission, ok := p.fleet.Plan(p.now, j, place.Constraints{Objective: checkObjective - (checkPatience - left), Remaining: left})
 	Expect(ok).To(BeTrue())
 	if !admission.Admit {
 		if !c.again {
@@ -86,23 +86,23 @@
 		}
 		return
 	}
-	p.fleet.Placed(p.now, place.Placement{ID: id, Prompt: j.Prompt, Plan: plan, Left: left})
+	p.fleet.AddPlacement(p.now, place.Placement{ID: id, Prompt: j.Prompt, Plan: plan, Remaining: left})
 	p.read(id, c, plan, p.now.Add(left))
 }
 
 // read has an engine read the prompt after those that it has.
 func (p *readPlay) read(id place.JobID, c *check, plan place.Plan, deadline time.Time) {
 	begin := p.now
-	if free := p.free[plan.Reader]; free.After(begin) {
+	if free := p.free[plan.PrefillEngine]; free.After(begin) {
 		begin = free
 	}
 	latency := readTime(plan.Split(), 0)
 	end := begin.Add(readTime(plan.Split(), c.tokens) - latency)
-	p.free[plan.Reader] = end
-	p.schedule(end.Add(latency), func() { p.fleet.OwnReadDone(p.now, id) })
+	p.free[plan.PrefillEngine] = end
+	p.schedule(end.Add(latency), func() { p.fleet.LocalPrefillDone(p.now, id) })
 	p.schedule(end.Add(latency+handedOverIn), func() {
 		p.fleet.FirstToken(p.now, id)
-		p.fleet.Ended(p.now, id)
+		p.fleet.JobFinished(p.now, id)
 		c.served = p.now.Before(deadline)
 	})
 }
@@ -151,7 +151,7 @@
 	p.arrive(3*time.Second, 900)
 	long := place.Job{ID: 1 << 40, Prompt: prompt(1<<40, 0, 20_000, 1<<40), Route: "checks"}
 	for range 100 {
-		_, a, _ := p.fleet.Plan(p.now, long, place.Urgency{Objective: 100 * time.Millisecond, Left: 300 * time.Millisecond})
+		_, a, _ := p.fleet.Plan(p.now, long, place.Constraints{Objective: 100 * time.Millisecond, Remaining: 300 * time.Millisecond})
 		Expect(a.Admit).To(BeFalse())
 	}
 }
--- a/internal/decide/place/state.go
+++ b/internal/decide/place/state.go
@@ -14,25 +14,25 @@
 //
 // It has nothing of reads. What an entry believes of them rests on what others tell;
 // kept, the error of one would become that of all.
-type State struct {
-	Steps   predict.FitState     `json:"steps"`
-	Lengths predict.LengthsState `json:"lengths"`
+type Snapshot struct {
+	Steps   predict.FitSnapshot    `json:"steps"`
+	Lengths predict.LengthSnapshot `json:"lengths"`
 	// Engines are those whose answers were seen.
-	Engines map[string]EngineState `json:"engines"`
+	Engines map[string]EngineSnapshot `json:"engines"`
 }
 
 // EngineState is what is learned of one start of an engine.
-type EngineState struct {
-	Incarnation int64               `json:"incarnation"`
-	Generating  predict.EngineState `json:"generating"`
+type EngineSnapshot struct {
+	Incarnation int64                  `json:"incarnation"`
+	Generating  predict.EngineSnapshot `json:"generating"`
 }
 
 // State returns what was learned; false if too little was to be of use to others.
-func (f *Fleet) State() (State, bool) {
-	s := State{Steps: f.steps.State(), Lengths: f.lengths.State(), Engines: make(map[string]EngineState)}
+func (f *Fleet) Snapshot() (Snapshot, bool) {
+	s := Snapshot{Steps: f.steps.Snapshot(), Lengths: f.lengths.Snapshot(), Engines: make(map[string]EngineSnapshot)}
 	for id, e := range f.engines {
-		if e.generating.Known() {
-			s.Engines[id] = EngineState{Incarnation: e.Incarnation, Generating: e.generating.State()}
+		if e.generating.Calibrated() {
+			s.Engines[id] = EngineSnapshot{Incarnation: e.Incarnation, Generating: e.generating.Snapshot()}
 		}
 	}
 	return s, f.answersKnown()
@@ -40,12 +40,12 @@
 
 // Restore takes over what another process has learned, where this one has seen
 // little. The error says what of it could not be used; the rest is.
-func (f *Fleet) Restore(s State) error {
+func (f *Fleet) Restore(s Snapshot) error {
 	errs := []error{f.steps.Restore(s.Steps), f.lengths.Restore(s.Lengths)}
-	f.restored = make(map[string]EngineState, len(s.Engines))
+	f.restored = make(map[string]EngineSnapshot, len(s.Engines))
 	for id, e := range s.Engines {
-		if !e.Generating.Usable() {
-			errs = append(errs, eris.Wrap(predict.ErrState, id))
+		if !e.Generating.Valid() {
+			errs = append(errs, eris.Wrap(predict.ErrInvalidSnapshot, id))
 			continue
 		}
 		f.restored[id] = e
--- a/internal/decide/predict/lag.go
+++ b/internal/decide/predict/lag.go
@@ -13,27 +13,27 @@
 )
 
 // Lag is how much longer some reads take than expected, whatever engine reads.
-type Lag struct {
+type PrefillLag struct {
 	value float64 // ms
 	at    time.Time
 }
 
 // Now is the lag, never negative.
-func (l *Lag) Now(now time.Time) time.Duration {
+func (l *PrefillLag) Current(now time.Time) time.Duration {
 	l.fade(now)
 	return milliseconds(max(0, l.value))
 }
 
 // Learn takes in what a read of this entry was expected to take, and took.
-func (l *Lag) Learn(now time.Time, expected, took time.Duration) {
+func (l *PrefillLag) Observe(now time.Time, expected, took time.Duration) {
 	l.fade(now)
 	off := min(max(took-expected, -mostLag), mostLag)
-	l.value += lagGain * (InMS(off) - l.value)
+	l.value += lagGain * (ToMillis(off) - l.value)
 }
 
-func (l *Lag) fade(now time.Time) {
+func (l *PrefillLag) fade(now time.Time) {
 	if passed := now.Sub(l.at); passed > 0 {
-		l.value *= Left(passed, lagHalfLife)
+		l.value *= DecayFactor(passed, lagHalfLife)
 		l.at = now
 	}
 }
--- a/internal/decide/predict/lag_test.go
+++ b/internal/decide/predict/lag_test.go
@@ -13,31 +13,31 @@
 	start := time.Unix(1_000, 0)
 
 	It("follows what reads take beyond what is expected", func() {
-		var l predict.Lag
+		var l predict.PrefillLag
 		now := start
 		for range 60 {
 			now = now.Add(10 * time.Millisecond)
-			l.Learn(now, 100*time.Millisecond, 250*time.Millisecond)
+			l.Observe(now, 100*time.Millisecond, 250*time.Millisecond)
 		}
-		Expect(l.Now(now)).To(BeNumerically("~", 150*time.Millisecond, 20*time.Millisecond))
+		Expect(l.Current(now)).To(BeNumerically("~", 150*time.Millisecond, 20*time.Millisecond))
 	})
 
 	// An entry refuses everybody as its link is full. Nothing is read, so nothing
 	// shows that the link is free again.
 	It("fades while nothing is read", func() {
-		var l predict.Lag
+		var l predict.PrefillLag
 		for range 60 {
-			l.Learn(start, 0, 800*time.Millisecond)
+			l.Observe(start, 0, 800*time.Millisecond)
 		}
-		Expect(l.Now(start.Add(5 * time.Second))).To(BeNumerically("<", 30*time.Millisecond))
+		Expect(l.Current(start.Add(5 * time.Second))).To(BeNumerically("<", 30*time.Millisecond))
 	})
 
 	It("is never negative, and one value hardly moves it", func() {
-		var l predict.Lag
-		l.Learn(start, time.Hour, 0)
-		Expect(l.Now(start)).To(BeZero())
-		var other predict.Lag
-		other.Learn(start, 0, time.Hour)
-		Expect(other.Now(start)).To(BeNumerically("<=", 100*time.Millisecond))
+		var l predict.PrefillLag
+		l.Observe(start, time.Hour, 0)
+		Expect(l.Current(start)).To(BeZero())
+		var other predict.PrefillLag
+		other.Observe(start, 0, time.Hour)
+		Expect(other.Current(start)).To(BeNumerically("<=", 100*time.Millisecond))
 	})
 })
--- a/internal/decide/predict/lengths.go
+++ b/internal/decide/predict/lengths.go
@@ -19,7 +19,7 @@
 
 // Lengths is what is believed of how many events an answer has, given the caller's
 // hint of its tokens: an event holds several tokens, and hints are often far off.
-type Lengths struct {
+type LengthModel struct {
 	// logEvents is the mean logarithm of events a hinted token, variance its
 	// spread.
 	logEvents, variance float64
@@ -27,7 +27,7 @@
 }
 
 // Learn takes in a whole answer.
-func (l *Lengths) Learn(hint, events int) {
+func (l *LengthModel) Observe(hint, events int) {
 	if hint <= 0 || events <= 0 {
 		return
 	}
@@ -39,17 +39,17 @@
 }
 
 // Known reports whether enough answers were seen.
-func (l *Lengths) Known() bool { return l.seen >= enoughReads }
+func (l *LengthModel) Calibrated() bool { return l.seen >= enoughReads }
 
 // Answer is what is known of one answer before its end.
 type Answer struct {
 	// Hint is how many tokens its caller expects, Done how many events there are.
-	Hint, Done int
+	HintTokens, EventsDone int
 }
 
 // Tokens returns how many tokens a number of events hold, 0 while that is not known.
-func (l *Lengths) Tokens(events int) int {
-	if !l.Known() {
+func (l *LengthModel) Tokens(events int) int {
+	if !l.Calibrated() {
 		return 0
 	}
 	return int(float64(events) * math.Exp(-l.logEvents))
@@ -57,38 +57,38 @@
 
 // Duration is how long the rest of an answer takes, with the time between two of
 // its events: the median of the answers that are longer than what is done.
-func (l *Lengths) Duration(a Answer, between time.Duration) time.Duration {
-	z := math.Sqrt2 * math.Erfcinv(l.longer(a, float64(a.Done)))
-	events := float64(a.Hint) * math.Exp(l.logEvents+l.spread()*z)
-	return time.Duration(max(1, events-float64(a.Done)) * float64(between))
+func (l *LengthModel) RemainingTime(a Answer, between time.Duration) time.Duration {
+	z := math.Sqrt2 * math.Erfcinv(l.longer(a, float64(a.EventsDone)))
+	events := float64(a.HintTokens) * math.Exp(l.logEvents+l.spread()*z)
+	return time.Duration(max(1, events-float64(a.EventsDone)) * float64(between))
 }
 
 // Exceeds is the probability that the rest of an answer takes longer than left.
-func (l *Lengths) Exceeds(a Answer, between, left time.Duration) float64 {
+func (l *LengthModel) MissProbability(a Answer, between, left time.Duration) float64 {
 	if left <= 0 {
 		return 1
 	}
-	return l.longer(a, l.reach(a, between, left)) / l.longer(a, float64(a.Done))
+	return l.longer(a, l.reach(a, between, left)) / l.longer(a, float64(a.EventsDone))
 }
 
 // Sensitivity is how much that probability grows with a delay, as a part of left.
-func (l *Lengths) Sensitivity(a Answer, between, left time.Duration) float64 {
+func (l *LengthModel) MissSensitivity(a Answer, between, left time.Duration) float64 {
 	if left <= 0 {
 		return 0
 	}
 	reach := l.reach(a, between, left)
 	z := l.deviation(a, reach)
 	density := math.Exp(-z*z/2) / math.Sqrt(2*math.Pi) / l.spread()
-	return density * (1 - float64(a.Done)/reach) / l.longer(a, float64(a.Done))
+	return density * (1 - float64(a.EventsDone)/reach) / l.longer(a, float64(a.EventsDone))
 }
 
 // reach is how many events there are of an answer after a time.
-func (l *Lengths) reach(a Answer, between, after time.Duration) float64 {
-	return float64(a.Done) + float64(after)/float64(max(1, between))
+func (l *LengthModel) reach(a Answer, between, after time.Duration) float64 {
+	return float64(a.EventsDone) + float64(after)/float64(max(1, between))
 }
 
 // longer is the probability that an answer has more than a number of events.
-func (l *Lengths) longer(a Answer, events float64) float64 {
+func (l *LengthModel) longer(a Answer, events float64) float64 {
 	if events <= 0 {
 		return 1
 	}
@@ -97,12 +97,12 @@
 
 // deviation is by how many standard deviations a number of events is more than
 // expected.
-func (l *Lengths) deviation(a Answer, events float64) float64 {
-	return math.Log(events/(float64(a.Hint)*math.Exp(l.logEvents))) / l.spread()
+func (l *LengthModel) deviation(a Answer, events float64) float64 {
+	return math.Log(events/(float64(a.HintTokens)*math.Exp(l.logEvents))) / l.spread()
 }
 
-func (l *Lengths) spread() float64 {
-	if !l.Known() {
+func (l *LengthModel) spread() float64 {
+	if !l.Calibrated() {
 		return priorSpread
 	}
 	return max(leastSpread, math.Sqrt(l.variance))
--- a/internal/decide/predict/predict.go
+++ b/internal/decide/predict/predict.go
@@ -18,33 +18,33 @@
 )
 
 // Work is what an engine has to read, of one prompt or of several.
-type Work struct {
+type PrefillWork struct {
 	// Prompts counts the prompts.
 	Prompts float64
 	// Tokens are the prompt tokens that it does not keep.
 	Tokens float64
 	// Pairs are the pairs of a token that it reads and one before it: the cost
 	// of attention.
-	Pairs float64
+	AttentionPairs float64
 }
 
 // WorkOf returns the work of reading a prompt of which some tokens are kept.
-func WorkOf(tokens, kept int) Work {
+func NewPrefillWork(tokens, kept int) PrefillWork {
 	fresh := float64(max(leastFresh, tokens-kept))
-	return Work{Prompts: 1, Tokens: fresh, Pairs: fresh * (float64(kept) + fresh/2)}
+	return PrefillWork{Prompts: 1, Tokens: fresh, AttentionPairs: fresh * (float64(kept) + fresh/2)}
 }
 
 // leastFresh tokens are read even of a prompt that is kept whole.
 const leastFresh = 16
 
 // Plus returns the work of both.
-func (w Work) Plus(o Work) Work {
-	return Work{Prompts: w.Prompts + o.Prompts, Tokens: w.Tokens + o.Tokens, Pairs: w.Pairs + o.Pairs}
+func (w PrefillWork) Plus(o PrefillWork) PrefillWork {
+	return PrefillWork{Prompts: w.Prompts + o.Prompts, Tokens: w.Tokens + o.Tokens, AttentionPairs: w.AttentionPairs + o.AttentionPairs}
 }
 
 // Times returns a part or a multiple of the work.
-func (w Work) Times(by float64) Work {
-	return Work{Prompts: w.Prompts * by, Tokens: w.Tokens * by, Pairs: w.Pairs * by}
+func (w PrefillWork) Scale(by float64) PrefillWork {
+	return PrefillWork{Prompts: w.Prompts * by, Tokens: w.Tokens * by, AttentionPairs: w.AttentionPairs * by}
 }
 
 const (
@@ -82,36 +82,36 @@
 // role: a time that passes whatever is read (the network, the start of a run),
 // and what each prompt, token and pair adds, all in proportion to what waits
 // before them.
-type Reading struct {
+type PrefillModel struct {
 	fit fit
 }
 
 // NewReading returns a Reading that has seen nothing, of engines that are
 // expected to read slowness times as slowly as those that do nothing else.
-func NewReading(slowness float64) *Reading {
+func NewPrefillModel(slowness float64) *PrefillModel {
 	prior := priorRead
 	prior[perToken] *= slowness
-	return &Reading{fit: newFit(coefficients, prior)}
+	return &PrefillModel{fit: newFit(coefficients, prior)}
 }
 
 // Known reports whether enough reads were seen to refuse requests by it.
-func (r *Reading) Known() bool { return r.fit.count >= enoughReads }
+func (r *PrefillModel) Calibrated() bool { return r.fit.count >= enoughReads }
 
 // Reads returns how many reads were learned from.
-func (r *Reading) Reads() int { return r.fit.count }
+func (r *PrefillModel) Samples() int { return r.fit.count }
 
 // Cost is how long an engine of average speed is busy with the work.
-func (r *Reading) Cost(w Work) time.Duration {
+func (r *PrefillModel) ComputeTime(w PrefillWork) time.Duration {
 	c := &r.fit.solution
-	return milliseconds(c[perPrompt]*w.Prompts + c[perToken]*w.Tokens + c[perPair]*w.Pairs)
+	return milliseconds(c[perPrompt]*w.Prompts + c[perToken]*w.Tokens + c[perPair]*w.AttentionPairs)
 }
 
 // Latency is how long an answer takes beside the work.
-func (r *Reading) Latency() time.Duration { return milliseconds(r.fit.solution[perLatency]) }
+func (r *PrefillModel) FixedLatency() time.Duration { return milliseconds(r.fit.solution[perLatency]) }
 
 // Rate returns how many prompt tokens an engine of average speed reads in a
 // millisecond, attention aside.
-func (r *Reading) Rate() float64 { return 1 / max(r.fit.solution[perToken], minRate) }
+func (r *PrefillModel) TokenRate() float64 { return 1 / max(r.fit.solution[perToken], minRate) }
 
 // minRate keeps Rate finite, in milliseconds a token.
 const minRate = 1e-6
@@ -119,15 +119,15 @@
 // Learn takes in a read: the work that was before its end at an engine of a
 // given slowness (1 is average, 2 takes twice as long), its own included, and
 // the time that it took.
-func (r *Reading) Learn(w Work, slowness float64, took time.Duration) {
-	expected := InMS(r.Latency()) + slowness*InMS(r.Cost(w))
+func (r *PrefillModel) Observe(w PrefillWork, slowness float64, took time.Duration) {
+	expected := ToMillis(r.FixedLatency()) + slowness*ToMillis(r.ComputeTime(w))
 	features := [coefficients]float64{
 		perLatency: 1,
 		perPrompt:  slowness * w.Prompts,
 		perToken:   slowness * w.Tokens,
-		perPair:    slowness * w.Pairs,
+		perPair:    slowness * w.AttentionPairs,
 	}
-	r.fit.learn(features, expected, InMS(took), r.Known())
+	r.fit.learn(features, expected, ToMillis(took), r.Calibrated())
 }
 
 const (
@@ -147,7 +147,7 @@
 
 // Engine is what is believed of one engine beside what it has in common with
 // the others of its service. The zero Engine is an average one.
-type Engine struct {
+type EngineSpeed struct {
 	// logSlowness is the logarithm of its slowness.
 	logSlowness float64
 	// variance is that of a single read's relative error, around logSlowness.
@@ -156,17 +156,17 @@
 }
 
 // Slowness is how many times as long as an average engine it takes.
-func (e *Engine) Slowness() float64 { return math.Exp(e.logSlowness) }
+func (e *EngineSpeed) Slowdown() float64 { return math.Exp(e.logSlowness) }
 
 // Doubt is the standard error of Slowness, as a part of it.
-func (e *Engine) Doubt() float64 { return math.Sqrt(e.variance * slownessGain / 2) }
+func (e *EngineSpeed) RelativeError() float64 { return math.Sqrt(e.variance * slownessGain / 2) }
 
 // Known reports whether enough reads were seen to compare the engine with others.
-func (e *Engine) Known() bool { return e.reads >= enoughReads }
+func (e *EngineSpeed) Calibrated() bool { return e.reads >= enoughReads }
 
 // Learn takes in what a read was expected to take at this engine, and took.
-func (e *Engine) Learn(expected, took time.Duration) {
-	err := math.Log((InMS(took) + jitter) / (InMS(expected) + jitter))
+func (e *EngineSpeed) Observe(expected, took time.Duration) {
+	err := math.Log((ToMillis(took) + jitter) / (ToMillis(expected) + jitter))
 	err = min(max(err, -mostStep), mostStep)
 	e.reads++
 	e.variance += max(slownessGain, 1/float64(e.reads)) * (err*err - e.variance)
@@ -179,4 +179,4 @@
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 // InMS returns a duration in milliseconds.
-func InMS(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func ToMillis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/decide/predict/steps_test.go
+++ b/internal/decide/predict/steps_test.go
@@ -17,34 +17,34 @@
 }
 
 // took is the time between two events, with a tenth of chance.
-func (s stepSheet) took(rng *rand.Rand, r predict.Running, slowness float64) time.Duration {
-	ms := s.perEvent + s.perContext*r.Tokens + s.perAge*r.Age.Seconds()
+func (s stepSheet) took(rng *rand.Rand, r predict.DecodeBatch, slowness float64) time.Duration {
+	ms := s.perEvent + s.perContext*r.PromptTokens + s.perAge*r.TotalAge.Seconds()
 	ms *= slowness * (1 + 0.1*rng.NormFloat64())
 	return time.Duration(max(0.1, ms) * float64(time.Millisecond))
 }
 
 // someRunning is an engine that is nearly idle, full, or between.
-func someRunning(rng *rand.Rand) predict.Running {
-	return predict.Running{
-		Tokens: rng.Float64() * 300_000,
-		Age:    time.Duration(rng.Float64() * 300 * float64(time.Second)),
+func someRunning(rng *rand.Rand) predict.DecodeBatch {
+	return predict.DecodeBatch{
+		PromptTokens: rng.Float64() * 300_000,
+		TotalAge:     time.Duration(rng.Float64() * 300 * float64(time.Second)),
 	}
 }
 
-func teachSteps(s *predict.Steps, sheet stepSheet, rng *rand.Rand, events int) {
+func teachSteps(s *predict.DecodeModel, sheet stepSheet, rng *rand.Rand, events int) {
 	for range events {
 		r := someRunning(rng)
-		s.Learn(r, 1, sheet.took(rng, r, 1))
+		s.Observe(r, 1, sheet.took(rng, r, 1))
 	}
 }
 
 // worstStep is the largest part by which Steps are off the sheet.
-func worstStep(s *predict.Steps, sheet stepSheet, rng *rand.Rand) float64 {
+func worstStep(s *predict.DecodeModel, sheet stepSheet, rng *rand.Rand) float64 {
 	off := 0.0
 	for range 50 {
 		r := someRunning(rng)
-		real := sheet.perEvent + sheet.perContext*r.Tokens + sheet.perAge*r.Age.Seconds()
-		off = max(off, math.Abs(predict.InMS(s.Between(r))/real-1))
+		real := sheet.perEvent + sheet.perContext*r.PromptTokens + sheet.perAge*r.TotalAge.Seconds()
+		off = max(off, math.Abs(predict.ToMillis(s.InterEventTime(r))/real-1))
 	}
 	return off
 }
@@ -56,7 +56,7 @@
 	DescribeTable("learns engines of any pace to within 15% in three hundred events",
 		func(sheet stepSheet) {
 			rng := rand.New(rand.NewPCG(21, 22))
-			s := predict.NewSteps()
+			s := predict.NewDecodeModel()
 			teachSteps(s, sheet, rng, 300)
 			Expect(worstStep(s, sheet, rng)).To(BeNumerically("<", 0.15))
 		},
@@ -70,7 +70,7 @@
 	// All engines of a service are replaced by others.
 	It("follows engines that change their pace", func() {
 		rng := rand.New(rand.NewPCG(23, 24))
-		s := predict.NewSteps()
+		s := predict.NewDecodeModel()
 		teachSteps(s, stepSheet{30, 1e-4, 0.1}, rng, 1_000)
 		teachSteps(s, stepSheet{90, 3e-4, 0.3}, rng, 3_000)
 		Expect(worstStep(s, stepSheet{90, 3e-4, 0.3}, rng)).To(BeNumerically("<", 0.15))
@@ -80,23 +80,23 @@
 	// streams comes.
 	It("is not moved by streams that stalled", func() {
 		rng := rand.New(rand.NewPCG(25, 26))
-		s := predict.NewSteps()
+		s := predict.NewDecodeModel()
 		sheet := stepSheet{30, 1e-4, 0.1}
 		teachSteps(s, sheet, rng, 500)
 		for range 20 {
-			s.Learn(someRunning(rng), 1, 5*time.Second)
+			s.Observe(someRunning(rng), 1, 5*time.Second)
 		}
 		Expect(worstStep(s, sheet, rng)).To(BeNumerically("<", 0.15))
 	})
 
 	It("never believes that more contexts take less time", func() {
 		rng := rand.New(rand.NewPCG(27, 28))
-		s := predict.NewSteps()
+		s := predict.NewDecodeModel()
 		for range 1_000 {
-			s.Learn(someRunning(rng), 1, time.Duration(rng.IntN(int(time.Second))))
+			s.Observe(someRunning(rng), 1, time.Duration(rng.IntN(int(time.Second))))
 			r := someRunning(rng)
-			Expect(s.Between(r)).To(BeNumerically(">=", 0))
-			Expect(s.Between(r.Plus(r))).To(BeNumerically(">=", s.Between(r)))
+			Expect(s.InterEventTime(r)).To(BeNumerically(">=", 0))
+			Expect(s.InterEventTime(r.Plus(r))).To(BeNumerically(">=", s.InterEventTime(r)))
 		}
 	})
 })
@@ -113,46 +113,46 @@
 	DescribeTable("learns how many events a hint means, and how far hints are off",
 		func(tokensPerEvent int) {
 			rng := rand.New(rand.NewPCG(29, 30))
-			var l predict.Lengths
+			var l predict.LengthModel
 			for range 300 {
 				events := 20 + rng.IntN(180)
-				l.Learn(hint(rng, events, tokensPerEvent), events)
+				l.Observe(hint(rng, events, tokensPerEvent), events)
 			}
 			const between = 50 * time.Millisecond
-			expected := l.Duration(predict.Answer{Hint: 100 * tokensPerEvent}, between)
+			expected := l.RemainingTime(predict.Answer{HintTokens: 100 * tokensPerEvent}, between)
 			Expect(expected.Seconds()).To(BeNumerically("~", 5, 0.8))
-			Expect(l.Exceeds(predict.Answer{Hint: 100 * tokensPerEvent}, between, 5*time.Second)).To(BeNumerically("~", 0.5, 0.15))
-			Expect(l.Exceeds(predict.Answer{Hint: 100 * tokensPerEvent}, between, 10*time.Second)).To(BeNumerically("~", 0.08, 0.06))
-			Expect(l.Exceeds(predict.Answer{Hint: 100 * tokensPerEvent}, between, 20*time.Second)).To(BeNumerically("<", 0.02))
+			Expect(l.MissProbability(predict.Answer{HintTokens: 100 * tokensPerEvent}, between, 5*time.Second)).To(BeNumerically("~", 0.5, 0.15))
+			Expect(l.MissProbability(predict.Answer{HintTokens: 100 * tokensPerEvent}, between, 10*time.Second)).To(BeNumerically("~", 0.08, 0.06))
+			Expect(l.MissProbability(predict.Answer{HintTokens: 100 * tokensPerEvent}, between, 20*time.Second)).To(BeNumerically("<", 0.02))
 		},
 		Entry("of one token", 1),
 		Entry("of fifty-five tokens", 55),
 	)
 
 	It("says that an answer misses a deadline that has passed", func() {
-		var l predict.Lengths
-		Expect(l.Exceeds(predict.Answer{Hint: 10}, time.Millisecond, 0)).To(Equal(1.0))
-		Expect(l.Sensitivity(predict.Answer{Hint: 10}, time.Millisecond, 0)).To(BeZero())
+		var l predict.LengthModel
+		Expect(l.MissProbability(predict.Answer{HintTokens: 10}, time.Millisecond, 0)).To(Equal(1.0))
+		Expect(l.MissSensitivity(predict.Answer{HintTokens: 10}, time.Millisecond, 0)).To(BeZero())
 	})
 
 	It("takes nothing from answers without a hint or events", func() {
-		var l predict.Lengths
+		var l predict.LengthModel
 		for range 100 {
-			l.Learn(0, 10)
-			l.Learn(10, 0)
+			l.Observe(0, 10)
+			l.Observe(10, 0)
 		}
-		Expect(l.Known()).To(BeFalse())
+		Expect(l.Calibrated()).To(BeFalse())
 	})
 })
 
 var _ = Describe("the rest of an answer", func() {
 	// taught knows answers of hint events, off by half.
-	taught := func() *predict.Lengths {
+	taught := func() *predict.LengthModel {
 		rng := rand.New(rand.NewPCG(41, 42))
-		var l predict.Lengths
+		var l predict.LengthModel
 		for range 300 {
 			events := 20 + rng.IntN(180)
-			l.Learn(int(float64(events)*math.Exp(0.5*rng.NormFloat64())), events)
+			l.Observe(int(float64(events)*math.Exp(0.5*rng.NormFloat64())), events)
 		}
 		return &l
 	}
@@ -160,21 +160,21 @@
 
 	It("is what its length leaves", func() {
 		l := taught()
-		Expect(l.Duration(predict.Answer{Hint: 100, Done: 80}, between)).To(BeNumerically("<", l.Duration(predict.Answer{Hint: 100}, between)/2))
-		half := predict.Answer{Hint: 200, Done: 100}
-		Expect(l.Exceeds(half, between, 12*time.Second)).To(BeNumerically("<", 0.2))
-		Expect(l.Exceeds(half, between, time.Second)).To(BeNumerically(">", 0.8))
+		Expect(l.RemainingTime(predict.Answer{HintTokens: 100, EventsDone: 80}, between)).To(BeNumerically("<", l.RemainingTime(predict.Answer{HintTokens: 100}, between)/2))
+		half := predict.Answer{HintTokens: 200, EventsDone: 100}
+		Expect(l.MissProbability(half, between, 12*time.Second)).To(BeNumerically("<", 0.2))
+		Expect(l.MissProbability(half, between, time.Second)).To(BeNumerically(">", 0.8))
 	})
 
 	// An answer longer than its caller expected has an end nevertheless.
 	It("is never nothing, nor without end", func() {
 		l := taught()
 		for done := 0; done < 100_000; done = 2*done + 1 {
-			a := predict.Answer{Hint: 50, Done: done}
-			Expect(l.Duration(a, between)).To(BeNumerically(">=", between))
-			Expect(l.Exceeds(a, between, 5*time.Second)).To(And(BeNumerically(">=", 0), BeNumerically("<=", 1)))
-			Expect(math.IsNaN(l.Sensitivity(a, between, 5*time.Second))).To(BeFalse())
-			Expect(l.Exceeds(a, between, 0)).To(Equal(1.0))
+			a := predict.Answer{HintTokens: 50, EventsDone: done}
+			Expect(l.RemainingTime(a, between)).To(BeNumerically(">=", between))
+			Expect(l.MissProbability(a, between, 5*time.Second)).To(And(BeNumerically(">=", 0), BeNumerically("<=", 1)))
+			Expect(math.IsNaN(l.MissSensitivity(a, between, 5*time.Second))).To(BeFalse())
+			Expect(l.MissProbability(a, between, 0)).To(Equal(1.0))
 		}
 	})
 })
--- a/internal/decide/quarantine/quarantine.go
+++ b/internal/decide/quarantine/quarantine.go
@@ -25,7 +25,7 @@
 
 const (
 	// Limit is how many servers may end under a request.
-	Limit = 3
+	TerminationThreshold = 3
 	// keptFor is how long evidence counts: a mended version of the server may run the
 	// request by then.
 	keptFor = 10 * time.Minute
@@ -45,23 +45,23 @@
 	Request  request.Fingerprint
 	Instance backend.Instance
 	// Began is when the request was sent there, At when its end was seen.
-	Began, At time.Time
+	SentAt, ObservedAt time.Time
 }
 
 // endedWell reports whether it clears the request.
 func (e Evidence) endedWell() bool { return e.Instance == backend.Instance{} }
 
 // Standing is what the evidence says of a request.
-type Standing struct {
+type Status struct {
 	// Ended are the instances that ended under it, the first one first.
-	Ended []Evidence
+	Terminations []Evidence
 	// Refuse says that it is not to be sent to any server, for RetryAfter from now.
-	Refuse     bool
-	RetryAfter time.Duration
+	Quarantined bool
+	RetryAfter  time.Duration
 }
 
 // Suspect reports whether a server has ended under it.
-func (s Standing) Suspect() bool { return len(s.Ended) > 0 }
+func (s Status) Suspected() bool { return len(s.Terminations) > 0 }
 
 // List is the evidence that one gateway knows. Its methods are for one goroutine at a
 // time.
@@ -85,7 +85,7 @@
 
 // Add takes in evidence and reports whether it was new.
 func (l *List) Add(now time.Time, e Evidence) bool {
-	if now.Sub(e.At) >= keptFor {
+	if now.Sub(e.ObservedAt) >= keptFor {
 		return false
 	}
 	r, ok := l.records[e.Request]
@@ -101,11 +101,11 @@
 }
 
 func (r *record) clear(e Evidence) bool {
-	if !e.At.After(r.clearedAt) {
+	if !e.ObservedAt.After(r.clearedAt) {
 		return false
 	}
-	r.clearedAt = e.At
-	r.ended = slices.DeleteFunc(r.ended, func(o Evidence) bool { return !o.At.After(e.At) })
+	r.clearedAt = e.ObservedAt
+	r.ended = slices.DeleteFunc(r.ended, func(o Evidence) bool { return !o.ObservedAt.After(e.ObservedAt) })
 	return true
 }
 
@@ -114,17 +114,17 @@
 	switch {
 	case i >= 0:
 		// Of several tries there, the last one to begin counts.
-		if !e.Began.After(r.ended[i].Began) {
+		if !e.SentAt.After(r.ended[i].SentAt) {
 			return false
 		}
-		r.ended[i].Began = e.Began
+		r.ended[i].SentAt = e.SentAt
 		return true
-	case !e.At.After(r.clearedAt):
+	case !e.ObservedAt.After(r.clearedAt):
 		return false
 	}
 	r.ended = append(r.ended, e)
 	slices.SortFunc(r.ended, func(a, b Evidence) int {
-		return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Instance.ID, b.Instance.ID))
+		return cmp.Or(a.ObservedAt.Compare(b.ObservedAt), cmp.Compare(a.Instance.ID, b.Instance.ID))
 	})
 	return r.bound() != e.Instance
 }
@@ -143,20 +143,20 @@
 }
 
 // Standing returns what is known of a request.
-func (l *List) Standing(now time.Time, f request.Fingerprint) Standing {
+func (l *List) Status(now time.Time, f request.Fingerprint) Status {
 	r, ok := l.records[f]
 	if !ok {
-		return Standing{}
+		return Status{}
 	}
 	r.expire(now)
 	if len(r.ended) == 0 {
-		return Standing{}
+		return Status{}
 	}
-	s := Standing{Ended: r.inSequence()}
-	if len(s.Ended) >= Limit {
-		s.Refuse = true
+	s := Status{Terminations: r.inSequence()}
+	if len(s.Terminations) >= TerminationThreshold {
+		s.Quarantined = true
 		// It is let in again once fewer than Limit count.
-		s.RetryAfter = s.Ended[len(s.Ended)-Limit].At.Add(keptFor).Sub(now)
+		s.RetryAfter = s.Terminations[len(s.Terminations)-TerminationThreshold].ObservedAt.Add(keptFor).Sub(now)
 	}
 	return s
 }
@@ -166,21 +166,21 @@
 	var counted []Evidence
 	var last time.Time
 	for _, e := range r.ended {
-		if e.Began.After(last) {
+		if e.SentAt.After(last) {
 			counted = append(counted, e)
-			last = e.At
+			last = e.ObservedAt
 		}
 	}
 	return counted
 }
 
 func (r *record) expire(now time.Time) {
-	r.ended = slices.DeleteFunc(r.ended, func(e Evidence) bool { return now.Sub(e.At) >= keptFor })
+	r.ended = slices.DeleteFunc(r.ended, func(e Evidence) bool { return now.Sub(e.ObservedAt) >= keptFor })
 }
 
 // ToTell returns up to most pieces of evidence that others may not know yet, those on
 // the requests with the most ended servers first.
-func (l *List) ToTell(now time.Time, most int) []Evidence {
+func (l *List) PendingAnnouncements(now time.Time, most int) []Evidence {
 	var records []*record
 	for f, r := range l.records {
 		r.expire(now)
@@ -198,7 +198,7 @@
 	for _, r := range records {
 		all = append(all, r.ended...)
 		if len(r.ended) == 0 {
-			all = append(all, Evidence{Request: r.request, At: r.clearedAt})
+			all = append(all, Evidence{Request: r.request, ObservedAt: r.clearedAt})
 		}
 		if len(all) >= most {
 			return all[:most]
@@ -221,7 +221,7 @@
 	if len(r.ended) == 0 {
 		return r.clearedAt
 	}
-	return r.ended[len(r.ended)-1].At
+	return r.ended[len(r.ended)-1].ObservedAt
 }
 
 // makeRoom drops the request that is under the least suspicion, the one seen longest
--- a/internal/decide/quarantine/quarantine_test.go
+++ b/internal/decide/quarantine/quarantine_test.go
@@ -24,25 +24,25 @@
 func at(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
 
 func ended(f request.Fingerprint, server string, s float64) quarantine.Evidence {
-	return quarantine.Evidence{Request: f, Instance: backend.Instance{ID: server, Incarnation: 1}, Began: at(s - 0.1), At: at(s)}
+	return quarantine.Evidence{Request: f, Instance: backend.Instance{ID: server, Incarnation: 1}, SentAt: at(s - 0.1), ObservedAt: at(s)}
 }
 
 func well(f request.Fingerprint, s float64) quarantine.Evidence {
-	return quarantine.Evidence{Request: f, At: at(s)}
+	return quarantine.Evidence{Request: f, ObservedAt: at(s)}
 }
 
 var _ = Describe("a request under which servers ended", func() {
 	It("is refused once three have", func() {
 		l := quarantine.New()
 		for i := range 3 {
-			Expect(l.Standing(at(9), 1).Refuse).To(BeFalse())
+			Expect(l.Status(at(9), 1).Quarantined).To(BeFalse())
 			Expect(l.Add(at(9), ended(1, strconv.Itoa(i), float64(i)))).To(BeTrue())
 		}
-		s := l.Standing(at(9), 1)
-		Expect(s.Refuse).To(BeTrue())
-		Expect(s.Ended).To(HaveLen(3))
+		s := l.Status(at(9), 1)
+		Expect(s.Quarantined).To(BeTrue())
+		Expect(s.Terminations).To(HaveLen(3))
 		Expect(s.RetryAfter).To(Equal(10*time.Minute - 9*time.Second))
-		Expect(l.Standing(at(9), 2)).To(Equal(quarantine.Standing{}))
+		Expect(l.Status(at(9), 2)).To(Equal(quarantine.Status{}))
 	})
 
 	// A server that starts again under its id is another one, and one that several
@@ -55,7 +55,7 @@
 		again := ended(1, "a", 1)
 		again.Instance.Incarnation = 2
 		Expect(l.Add(at(1), again)).To(BeTrue())
-		Expect(l.Standing(at(1), 1).Ended).To(HaveLen(2))
+		Expect(l.Status(at(1), 1).Terminations).To(HaveLen(2))
 	})
 
 	// Up to a hundred requests run at a server that ends. Those that end well elsewhere
@@ -65,7 +65,7 @@
 		l.Add(at(0), ended(1, "a", 0))
 		l.Add(at(1), ended(1, "b", 1))
 		Expect(l.Add(at(2), well(1, 2))).To(BeTrue())
-		Expect(l.Standing(at(2), 1).Suspect()).To(BeFalse())
+		Expect(l.Status(at(2), 1).Suspected()).To(BeFalse())
 		Expect(l.Add(at(3), ended(1, "c", 1.5))).To(BeFalse())
 		Expect(l.Add(at(3), ended(1, "c", 2.5))).To(BeTrue())
 	})
@@ -76,8 +76,8 @@
 		for i := range 6 {
 			l.Add(at(1), ended(1, strconv.Itoa(i), 0.01*float64(i)))
 		}
-		Expect(l.Standing(at(1), 1).Refuse).To(BeFalse())
-		Expect(l.Standing(at(1), 1).Suspect()).To(BeTrue())
+		Expect(l.Status(at(1), 1).Quarantined).To(BeFalse())
+		Expect(l.Status(at(1), 1).Suspected()).To(BeTrue())
 	})
 
 	// Guards against a rack that was lost under it, with all that is noted of a request,
@@ -90,7 +90,7 @@
 		for i := range 3 {
 			l.Add(at(9), ended(1, "later"+strconv.Itoa(i), 1+float64(i)))
 		}
-		Expect(l.Standing(at(9), 1).Refuse).To(BeTrue())
+		Expect(l.Status(at(9), 1).Quarantined).To(BeTrue())
 	})
 
 	It("is let in again when the evidence is old", func() {
@@ -98,9 +98,9 @@
 		for i := range 3 {
 			l.Add(at(1), ended(1, strconv.Itoa(i), 0.2*float64(i)))
 		}
-		Expect(l.Standing(at(599), 1).Refuse).To(BeTrue())
-		Expect(l.Standing(at(600), 1).Refuse).To(BeFalse())
-		Expect(l.ToTell(at(601), 100)).To(BeEmpty())
+		Expect(l.Status(at(599), 1).Quarantined).To(BeTrue())
+		Expect(l.Status(at(600), 1).Quarantined).To(BeFalse())
+		Expect(l.PendingAnnouncements(at(601), 100)).To(BeEmpty())
 		Expect(l.Len()).To(BeZero())
 		Expect(l.Add(at(700), ended(1, "old", 0))).To(BeFalse())
 	})
@@ -136,7 +136,7 @@
 				lists = append(lists, l)
 			}
 			for f := range request.Fingerprint(4) {
-				Expect(lists[0].Standing(at(21), f)).To(Equal(lists[1].Standing(at(21), f)), "seed %d", seed)
+				Expect(lists[0].Status(at(21), f)).To(Equal(lists[1].Status(at(21), f)), "seed %d", seed)
 			}
 		}
 	})
@@ -147,9 +147,9 @@
 		l.Add(at(0), ended(2, "a", 0))
 		l.Add(at(0), ended(2, "b", 0))
 		l.Add(at(0), well(3, 0))
-		Expect(l.ToTell(at(1), 100)).To(HaveLen(4))
-		Expect(l.ToTell(at(1), 2)).To(ConsistOf(ended(2, "a", 0), ended(2, "b", 0)))
-		Expect(l.ToTell(at(60), 100)).To(ConsistOf(ended(2, "a", 0), ended(2, "b", 0)))
+		Expect(l.PendingAnnouncements(at(1), 100)).To(HaveLen(4))
+		Expect(l.PendingAnnouncements(at(1), 2)).To(ConsistOf(ended(2, "a", 0), ended(2, "b", 0)))
+		Expect(l.PendingAnnouncements(at(60), 100)).To(ConsistOf(ended(2, "a", 0), ended(2, "b", 0)))
 	})
 
 	// A caller sends many different requests, and each ends a server. Those that are
@@ -163,10 +163,10 @@
 			l.Add(at(1), ended(f, "a", 1))
 		}
 		Expect(l.Len()).To(BeNumerically("<=", 2_048))
-		Expect(l.Standing(at(1), 1<<40).Refuse).To(BeTrue())
+		Expect(l.Status(at(1), 1<<40).Quarantined).To(BeTrue())
 		for n := range 100 {
 			l.Add(at(1), ended(1<<40, "more"+strconv.Itoa(n), 1))
 		}
-		Expect(len(l.Standing(at(1), 1<<40).Ended)).To(BeNumerically("<=", 8))
+		Expect(len(l.Status(at(1), 1<<40).Terminations)).To(BeNumerically("<=", 8))
 	})
 })
--- a/internal/decide/queue/order.go
+++ b/internal/decide/queue/order.go
@@ -19,7 +19,7 @@
 func (q *Queue) laneOf(i Item) *lane {
 	class := min(max(0, i.Class), len(q.cfg.ClassWeights)-1)
 	at := 2 * class
-	if i.PromptTokens-i.CachedTokens >= q.cfg.Long {
+	if i.PromptTokens-i.CachedTokens >= q.cfg.LongPromptTokens {
 		at++
 	}
 	return &q.lanes[at]
@@ -89,7 +89,7 @@
 
 // next picks from a lane: among the callers that have had least, the earliest
 // deadline. Items that do not fit are passed by until the hold is over.
-func (q *Queue) next(now time.Time, l *lane, room Room) *entry {
+func (q *Queue) next(now time.Time, l *lane, room Capacity) *entry {
 	least := q.leastServed(l)
 	var best, bestFit *entry
 	for _, e := range l.entries {
@@ -112,7 +112,7 @@
 // blocked says that e would take the room kept for an item that has been
 // passed by for too long. Without this, a steady stream of short prompts keeps
 // every long one from ever fitting.
-func (q *Queue) blocked(now time.Time, e *entry, room Room) bool {
+func (q *Queue) blocked(now time.Time, e *entry, room Capacity) bool {
 	held, ok := q.byID[q.held]
 	if !ok || held == e || now.Sub(q.heldAt) < q.cfg.Hold {
 		return false
@@ -159,7 +159,7 @@
 	q.pass = q.leastPass()
 	q.served = q.leastWaiting()
 	for name, c := range q.callers {
-		if c.items == 0 && (c.served <= q.served || len(q.callers) > 2*q.cfg.Items) {
+		if c.items == 0 && (c.served <= q.served || len(q.callers) > 2*q.cfg.MaxItems) {
 			delete(q.callers, name)
 		}
 	}
--- a/internal/decide/queue/queue.go
+++ b/internal/decide/queue/queue.go
@@ -48,13 +48,13 @@
 
 // Config sets a Queue. The zero value of a field means its default.
 type Config struct {
-	Items        int
-	PieceTokens  int
-	Long         int
-	LongShare    float64
-	Quantum      float64
-	Hold         time.Duration
-	ClassWeights []float64
+	MaxItems         int
+	PieceTokens      int
+	LongPromptTokens int
+	LongShare        float64
+	Quantum          float64
+	Hold             time.Duration
+	ClassWeights     []float64
 	// Pieces is the KV cache of the engine; an item that needs more is
 	// refused. 0 means that it is not known.
 	Pieces int
@@ -77,7 +77,7 @@
 }
 
 // Room is what an engine can take now.
-type Room struct {
+type Capacity struct {
 	Slots  int
 	Pieces int
 }
@@ -149,9 +149,9 @@
 
 // New returns an empty Queue.
 func New(cfg Config) *Queue {
-	cfg.Items = cmp.Or(cfg.Items, DefaultItems)
+	cfg.MaxItems = cmp.Or(cfg.MaxItems, DefaultItems)
 	cfg.PieceTokens = cmp.Or(cfg.PieceTokens, DefaultPieceTokens)
-	cfg.Long = cmp.Or(cfg.Long, DefaultLong)
+	cfg.LongPromptTokens = cmp.Or(cfg.LongPromptTokens, DefaultLong)
 	cfg.LongShare = cmp.Or(cfg.LongShare, DefaultLongShare)
 	cfg.Quantum = cmp.Or(cfg.Quantum, DefaultQuantum)
 	cfg.Hold = cmp.Or(cfg.Hold, DefaultHold)
@@ -195,7 +195,7 @@
 		return false, q.drainTime()
 	}
 	e := q.entry(i)
-	if len(q.byID) >= q.cfg.Items && !q.displace(e) {
+	if len(q.byID) >= q.cfg.MaxItems && !q.displace(e) {
 		return false, q.drainTime()
 	}
 	q.add(e)
@@ -213,7 +213,7 @@
 
 // Expired takes out what can no longer meet its deadline, and returns it with
 // what was displaced. None of it has run.
-func (q *Queue) Expired(now time.Time) []Removed {
+func (q *Queue) TakeExpired(now time.Time) []Removed {
 	removed := q.displaced
 	q.displaced = nil
 	var late []*entry
@@ -233,7 +233,7 @@
 
 // Pop takes out the item to run next in the given room. It never returns an
 // item whose deadline can no longer be met.
-func (q *Queue) Pop(now time.Time, room Room) (Item, bool) {
+func (q *Queue) Pop(now time.Time, room Capacity) (Item, bool) {
 	if room.Slots <= 0 {
 		return Item{}, false
 	}
--- a/internal/decide/queue/queue_test.go
+++ b/internal/decide/queue/queue_test.go
@@ -30,7 +30,7 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-var room = queue.Room{Slots: 1, Pieces: 1_000}
+var room = queue.Capacity{Slots: 1, Pieces: 1_000}
 
 func item(id, caller string, prompt int) queue.Item {
 	return queue.Item{ID: id, Caller: caller, PromptTokens: prompt, Deadline: at(time.Minute)}
@@ -105,20 +105,20 @@
 		q.Push(start, item("late", "booker", 1_000))
 		_, ok := q.Pop(at(2*time.Minute), room)
 		Expect(ok).To(BeFalse())
-		Expect(q.Expired(at(2 * time.Minute))).To(HaveExactElements(
+		Expect(q.TakeExpired(at(2 * time.Minute))).To(HaveExactElements(
 			And(HaveField("ID", "late"), HaveField("Reason", queue.Expired))))
 		Expect(q.Len()).To(BeZero())
 		Expect(q.QueuedTokens()).To(BeZero())
 	})
 
 	It("displaces the heaviest caller's work when full, and no one else's", func() {
-		q := queue.New(queue.Config{Items: 10})
+		q := queue.New(queue.Config{MaxItems: 10})
 		for i := range 10 {
 			q.Push(start, item(fmt.Sprintf("heavy-%d", i), "heavy", 4_000))
 		}
 		ok, _ := q.Push(start, item("light", "light", 4_000))
 		Expect(ok).To(BeTrue())
-		Expect(q.Expired(start)).To(HaveExactElements(HaveField("Reason", queue.Displaced)))
+		Expect(q.TakeExpired(start)).To(HaveExactElements(HaveField("Reason", queue.Displaced)))
 		ok, _ = q.Push(start, item("more", "heavy", 4_000))
 		Expect(ok).To(BeFalse())
 	})
@@ -131,7 +131,7 @@
 		for i := range 50 {
 			q.Push(start, item(fmt.Sprintf("short-%d", i), "booker", 500))
 		}
-		narrow := queue.Room{Slots: 1, Pieces: 20}
+		narrow := queue.Capacity{Slots: 1, Pieces: 20}
 		for range 2 {
 			_, ok := q.Pop(start, narrow)
 			Expect(ok).To(BeTrue(), "the hold is not over yet")
@@ -143,7 +143,7 @@
 			}
 		}
 		Expect(passed).To(BeZero())
-		i, _ := q.Pop(at(3*time.Second), queue.Room{Slots: 1, Pieces: 60})
+		i, _ := q.Pop(at(3*time.Second), queue.Capacity{Slots: 1, Pieces: 60})
 		Expect(i.ID).To(Equal("long"))
 	})
 
@@ -159,7 +159,7 @@
 // leaves its caller without an answer, one that leaves twice runs twice.
 func TestEachItemLeavesOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q := queue.New(queue.Config{Items: 8, Hold: 2 * time.Second})
+		q := queue.New(queue.Config{MaxItems: 8, Hold: 2 * time.Second})
 		now := start
 		waiting := make(map[string]queue.Item)
 		leave := func(i queue.Item) {
@@ -184,7 +184,7 @@
 				}
 			},
 			"pop": func(t *rapid.T) {
-				room := queue.Room{Slots: 1, Pieces: rapid.IntRange(0, 20).Draw(t, "pieces")}
+				room := queue.Capacity{Slots: 1, Pieces: rapid.IntRange(0, 20).Draw(t, "pieces")}
 				i, ok := q.Pop(now, room)
 				if !ok {
 					return
@@ -204,7 +204,7 @@
 			},
 			"wait": func(*rapid.T) { now = now.Add(time.Second) },
 			"": func(t *rapid.T) {
-				for _, r := range q.Expired(now) {
+				for _, r := range q.TakeExpired(now) {
 					leave(r.Item)
 				}
 				tokens := 0
--- a/internal/decide/ratelimit/allowance.go
+++ b/internal/decide/ratelimit/allowance.go
@@ -30,7 +30,7 @@
 // Rank is a gateway's place among those that could send to a server.
 type Rank struct {
 	// Position counts from 0, Of is how many gateways there are, 0 if that is not known.
-	Position, Of int
+	Position, Total int
 }
 
 // Ranking ranks this gateway by a key. All gateways that know the same gateways agree on
@@ -56,7 +56,7 @@
 // rate returns how many requests a second the server may get from all gateways; false if
 // there is no limit any more.
 func (e *entry) rate(now time.Duration) (float64, bool) {
-	if e.last.Named {
+	if e.last.Limited {
 		return max(leastRate, e.last.PerSecond), true
 	}
 	passed := now - e.endedAt
@@ -76,17 +76,17 @@
 
 // chosen reports whether this gateway is one of those that may send at a rate.
 func (e *entry) chosen(rate float64) bool {
-	return e.rank.Of > 0 && e.rank.Position < members(rate, e.round, e.rank.Of)
+	return e.rank.Total > 0 && e.rank.Position < members(rate, e.round, e.rank.Total)
 }
 
 // currentRound counts the times for which no answer of the server was known. In each, one
 // other gateway looks whether the limit still holds.
 func (e *entry) currentRound(now time.Duration, rate float64) uint64 {
-	if !e.last.Named {
+	if !e.last.Limited {
 		return 0
 	}
 	silence := max(leastSilence, time.Duration(silentSends/rate*float64(time.Second)))
-	return uint64(max(0, now-e.last.Heard) / silence)
+	return uint64(max(0, now-e.last.ReceivedAt) / silence)
 }
 
 // refresh brings the allowance up to a moment, and returns this gateway's part of the rate
@@ -100,7 +100,7 @@
 		e.round = round
 		e.rank = ranking(e.last.Server.ID, round)
 	}
-	part = rate / float64(members(rate, e.round, e.rank.Of))
+	part = rate / float64(members(rate, e.round, e.rank.Total))
 	e.fill(now, part)
 	return part, e.chosen(rate) && now >= e.heldUntil, true
 }
@@ -124,7 +124,7 @@
 
 // Part returns how many requests a second this gateway may send to a server with a limit,
 // 0 if it may send none now.
-func (t *Table) Part(now time.Duration, server string) float64 {
+func (t *Table) Share(now time.Duration, server string) float64 {
 	e, ok := t.entries[server]
 	if !ok {
 		return 0
@@ -145,7 +145,7 @@
 
 // Wait returns after how long a request to a server may be let through, here or by
 // another gateway; 0 if there is no limit.
-func (t *Table) Wait(now time.Duration, server string) time.Duration {
+func (t *Table) RetryAfter(now time.Duration, server string) time.Duration {
 	e, ok := t.entries[server]
 	if !ok {
 		return 0
@@ -165,7 +165,7 @@
 
 // Rank ranks this gateway anew for all servers with a limit. It is called from time to
 // time, as gateways come and go.
-func (t *Table) Rank(now time.Duration) {
+func (t *Table) UpdateRanks(now time.Duration) {
 	for _, e := range t.entries {
 		rate, limited := e.rate(now)
 		if !limited {
--- a/internal/decide/ratelimit/allowance_test.go
+++ b/internal/decide/ratelimit/allowance_test.go
@@ -16,7 +16,7 @@
 		rank  ratelimit.Rank
 	)
 	BeforeEach(func() {
-		rank = ratelimit.Rank{Of: 1}
+		rank = ratelimit.Rank{Total: 1}
 		table = ratelimit.New(func(string, uint64) ratelimit.Rank { return rank })
 	})
 	// sent is how many requests of those that come each 10 ms pass between two moments.
@@ -33,7 +33,7 @@
 
 	It("is all without a limit", func() {
 		Expect(sent(0, 1)).To(Equal(100))
-		Expect(table.Wait(0, "s")).To(BeZero())
+		Expect(table.RetryAfter(0, "s")).To(BeZero())
 	})
 
 	It("is the limit, from the moment at which it is named", func() {
@@ -51,22 +51,22 @@
 	})
 
 	It("is a part of it for a few gateways, and nothing for the others", func() {
-		rank = ratelimit.Rank{Position: 7, Of: 40}
+		rank = ratelimit.Rank{Position: 7, Total: 40}
 		table.Add(0, said(1, 4.2, -1, 0))
 		Expect(sent(0, 9.5)).To(BeNumerically("~", 5, 1))
 		rank.Position = 8
-		table.Rank(seconds(9.5))
+		table.UpdateRanks(seconds(9.5))
 		Expect(sent(9.5, 10)).To(BeZero())
 	})
 
 	// Guards against more gateways than agreed using a limit while they do not yet know
 	// the same gateways.
 	It("is nothing for a while for a gateway that takes the place of another", func() {
-		rank = ratelimit.Rank{Position: 3, Of: 40}
+		rank = ratelimit.Rank{Position: 3, Total: 40}
 		table.Add(0, said(1, 1, -1, 0))
 		Expect(sent(0, 4)).To(BeZero())
 		rank.Position = 2
-		table.Rank(seconds(4))
+		table.UpdateRanks(seconds(4))
 		Expect(sent(4, 8)).To(BeZero())
 		table.Add(seconds(8), said(1, 1, 7, 8))
 		Expect(sent(8, 16)).To(BeNumerically("~", 3, 1))
@@ -77,7 +77,7 @@
 		rank = ratelimit.Rank{}
 		table.Add(0, said(1, 100, -1, 0))
 		Expect(sent(0, 4)).To(BeZero())
-		Expect(table.Wait(seconds(4), "s")).To(Equal(10 * time.Millisecond))
+		Expect(table.RetryAfter(seconds(4), "s")).To(Equal(10 * time.Millisecond))
 	})
 
 	// Guards against a server that is never asked again once it took nothing.
@@ -97,7 +97,7 @@
 		asked := uint64(0)
 		table = ratelimit.New(func(_ string, round uint64) ratelimit.Rank {
 			asked = max(asked, round)
-			return ratelimit.Rank{Position: int(3 * ((round + 1) % 2)), Of: 40}
+			return ratelimit.Rank{Position: int(3 * ((round + 1) % 2)), Total: 40}
 		})
 		table.Add(0, said(1, 1, -1, 0))
 		Expect(sent(0, 10)).To(BeZero())
@@ -119,12 +119,12 @@
 
 	It("says when the next request may pass", func() {
 		table.Add(0, said(1, 4, -1, 0))
-		Expect(table.Wait(0, "s")).To(Equal(250 * time.Millisecond))
-		Expect(table.Wait(seconds(0.2), "s")).To(BeNumerically("~", 50*time.Millisecond, time.Millisecond))
+		Expect(table.RetryAfter(0, "s")).To(Equal(250 * time.Millisecond))
+		Expect(table.RetryAfter(seconds(0.2), "s")).To(BeNumerically("~", 50*time.Millisecond, time.Millisecond))
 		rank.Position = 9
-		rank.Of = 10
-		table.Rank(0)
-		Expect(table.Wait(seconds(1), "s")).To(Equal(250 * time.Millisecond))
+		rank.Total = 10
+		table.UpdateRanks(0)
+		Expect(table.RetryAfter(seconds(1), "s")).To(Equal(250 * time.Millisecond))
 	})
 })
 
@@ -138,7 +138,7 @@
 		first := map[string]bool{}
 		for _, own := range names {
 			r := ratelimit.RankAmong(own, names, "s", 0)
-			Expect(r.Of).To(Equal(40))
+			Expect(r.Total).To(Equal(40))
 			seen[r.Position] = true
 			for n := range 20 {
 				if ratelimit.RankAmong(own, names, fmt.Sprint("s-", n), 0).Position == 0 {
@@ -148,6 +148,6 @@
 		}
 		Expect(seen).To(HaveLen(40))
 		Expect(len(first)).To(BeNumerically(">", 10))
-		Expect(ratelimit.RankAmong("other", names, "s", 0)).To(Equal(ratelimit.Rank{Position: 40, Of: 40}))
+		Expect(ratelimit.RankAmong("other", names, "s", 0)).To(Equal(ratelimit.Rank{Position: 40, Total: 40}))
 	})
 })
--- a/internal/decide/ratelimit/bound_test.go
+++ b/internal/decide/ratelimit/bound_test.go
@@ -163,7 +163,7 @@
 			g.others = append(g.others, o.name)
 		}
 	}
-	g.table.Rank(g.sim.now)
+	g.table.UpdateRanks(g.sim.now)
 }
 
 func (g *simGateway) look(time.Duration) {
@@ -194,8 +194,8 @@
 		o.whenAwake(func() {
 			for _, n := range notices {
 				// Ages travel, and the time on the way is not known.
-				n.Sent += now - sent
-				n.Heard += now - sent
+				n.RequestedAt += now - sent
+				n.ReceivedAt += now - sent
 				o.heard(n, false)
 			}
 		})
@@ -216,8 +216,8 @@
 		return
 	}
 	if now >= g.thaws {
-		g.table.Forget(now, func(string) bool { return true })
-		notices := g.table.ToTell(now, 48)
+		g.table.Prune(now, func(string) bool { return true })
+		notices := g.table.PendingAnnouncements(now, 48)
 		for range 3 {
 			g.tell(g.sim.gateways[g.sim.r.IntN(len(g.sim.gateways))], notices)
 		}
@@ -249,8 +249,8 @@
 				}
 			}
 			g.heard(ratelimit.Notice{
-				Server: backend.Instance{ID: server.id, Incarnation: 1}, Named: names, PerSecond: limit,
-				Sent: sent, Heard: s.now,
+				Server: backend.Instance{ID: server.id, Incarnation: 1}, Limited: names, PerSecond: limit,
+				RequestedAt: sent, ReceivedAt: s.now,
 			}, true)
 		})
 	})
--- a/internal/decide/ratelimit/ranking.go
+++ b/internal/decide/ratelimit/ranking.go
@@ -12,9 +12,9 @@
 // Those that know the same names agree, and a name that comes or goes moves the others by
 // one place at most.
 func RankAmong(own string, among []string, server string, round uint64) Rank {
-	r := Rank{Of: len(among)}
+	r := Rank{Total: len(among)}
 	if !slices.Contains(among, own) {
-		r.Position = r.Of
+		r.Position = r.Total
 		return r
 	}
 	key := binary.BigEndian.AppendUint64([]byte(server), round)
--- a/internal/decide/ratelimit/ratelimit.go
+++ b/internal/decide/ratelimit/ratelimit.go
@@ -42,24 +42,24 @@
 	Server backend.Instance
 	// Named says that the server takes PerSecond requests a second; otherwise it names no
 	// limit.
-	Named     bool
+	Limited   bool
 	PerSecond float64
 	// Sent is when the request was sent that the server answered so, and Heard when the
 	// head of the answer came.
-	Sent, Heard time.Duration
+	RequestedAt, ReceivedAt time.Duration
 	// Weak says that the answer had no authentication code, as those to prompts that are
 	// only read and rejections.
-	Weak bool
+	Unauthenticated bool
 }
 
 // stricter reports whether n lets fewer requests through than o.
 func (n Notice) stricter(o Notice) bool {
-	return n.Named && (!o.Named || n.PerSecond < o.PerSecond)
+	return n.Limited && (!o.Limited || n.PerSecond < o.PerSecond)
 }
 
 // says reports whether n and o say the same.
 func (n Notice) says(o Notice) bool {
-	return n.Named == o.Named && (!n.Named || n.PerSecond == o.PerSecond)
+	return n.Limited == o.Limited && (!n.Limited || n.PerSecond == o.PerSecond)
 }
 
 // Change is what a Notice changed.
@@ -107,7 +107,7 @@
 func (t *Table) Len() int { return len(t.entries) }
 
 // Knows reports whether a server has a limit, or had one until lately.
-func (t *Table) Knows(server string) bool {
+func (t *Table) Tracks(server string) bool {
 	_, ok := t.entries[server]
 	return ok
 }
@@ -115,7 +115,7 @@
 // Limit returns the limit that a server names, in requests a second.
 func (t *Table) Limit(server string) (perSecond float64, ok bool) {
 	e, ok := t.entries[server]
-	if !ok || !e.last.Named {
+	if !ok || !e.last.Limited {
 		return 0, false
 	}
 	return e.last.PerSecond, true
@@ -131,7 +131,7 @@
 		return Unchanged
 	case n.Server.Incarnation > e.last.Server.Incarnation:
 		return t.replace(now, e, n)
-	case n.Heard <= e.last.Sent:
+	case n.ReceivedAt <= e.last.RequestedAt:
 		return Unchanged
 	case !n.newerThan(e.last):
 		return e.merge(n)
@@ -141,7 +141,7 @@
 
 // begin takes in the first notice of a server. One without a limit says nothing.
 func (t *Table) begin(now time.Duration, n Notice) Change {
-	if !n.Named {
+	if !n.Limited {
 		return Unchanged
 	}
 	t.makeRoom()
@@ -158,7 +158,7 @@
 	if t.begin(now, n) == Begun {
 		return Begun
 	}
-	if e.last.Named {
+	if e.last.Limited {
 		return Ended
 	}
 	return Unchanged
@@ -166,17 +166,17 @@
 
 // newerThan reports whether the server certainly said n after o.
 func (n Notice) newerThan(o Notice) bool {
-	if !n.Named && o.Named && n.Weak && !o.Weak {
-		return n.Sent >= o.Heard+weakDelay
+	if !n.Limited && o.Limited && n.Unauthenticated && !o.Unauthenticated {
+		return n.RequestedAt >= o.ReceivedAt+weakDelay
 	}
-	return n.Sent >= o.Heard
+	return n.RequestedAt >= o.ReceivedAt
 }
 
 // merge takes in a notice that overlaps with the last one.
 func (e *entry) merge(n Notice) Change {
 	switch {
 	case n.says(e.last):
-		e.last.Sent, e.last.Heard = max(e.last.Sent, n.Sent), max(e.last.Heard, n.Heard)
+		e.last.RequestedAt, e.last.ReceivedAt = max(e.last.RequestedAt, n.RequestedAt), max(e.last.ReceivedAt, n.ReceivedAt)
 		return Unchanged
 	case n.stricter(e.last):
 		return e.set(n)
@@ -190,34 +190,34 @@
 	was := e.last
 	e.last = n
 	switch {
-	case !n.Named && !was.Named:
+	case !n.Limited && !was.Limited:
 		return Unchanged
-	case !n.Named:
-		e.before, e.endedAt = was.PerSecond, n.Heard
+	case !n.Limited:
+		e.before, e.endedAt = was.PerSecond, n.ReceivedAt
 		return Ended
-	case was.Named && math.Abs(n.PerSecond-e.announced) <= notable*e.announced:
+	case was.Limited && math.Abs(n.PerSecond-e.announced) <= notable*e.announced:
 		return Unchanged
 	}
 	e.announced = n.PerSecond
-	if was.Named {
+	if was.Limited {
 		return Changed
 	}
 	return Begun
 }
 
 // Forget drops the limits that ended and those of servers that are gone.
-func (t *Table) Forget(now time.Duration, known func(server string) bool) {
+func (t *Table) Prune(now time.Duration, known func(server string) bool) {
 	maps.DeleteFunc(t.entries, func(id string, e *entry) bool {
-		if !e.last.Named && now-e.endedAt >= keptEnded {
+		if !e.last.Limited && now-e.endedAt >= keptEnded {
 			return true
 		}
-		return !known(id) && now-e.last.Heard >= keptGone
+		return !known(id) && now-e.last.ReceivedAt >= keptGone
 	})
 }
 
 // ToTell returns up to most notices that others may not have, those told longest ago
 // first.
-func (t *Table) ToTell(now time.Duration, most int) []Notice {
+func (t *Table) PendingAnnouncements(now time.Duration, most int) []Notice {
 	entries := slices.SortedFunc(maps.Values(t.entries), func(a, b *entry) int {
 		return cmp.Or(cmp.Compare(a.toldAt, b.toldAt), cmp.Compare(a.last.Server.ID, b.last.Server.ID))
 	})
@@ -235,7 +235,7 @@
 		return
 	}
 	oldest := slices.MinFunc(slices.Collect(maps.Values(t.entries)), func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(a.last.Heard, b.last.Heard), cmp.Compare(a.last.Server.ID, b.last.Server.ID))
+		return cmp.Or(cmp.Compare(a.last.ReceivedAt, b.last.ReceivedAt), cmp.Compare(a.last.Server.ID, b.last.Server.ID))
 	})
 	delete(t.entries, oldest.last.Server.ID)
 }
--- a/internal/decide/ratelimit/ratelimit_test.go
+++ b/internal/decide/ratelimit/ratelimit_test.go
@@ -23,13 +23,13 @@
 // said is what start n of a server said between two moments, in seconds.
 func said(n int64, perSecond, sent, heard float64) ratelimit.Notice {
 	return ratelimit.Notice{
-		Server: backend.Instance{ID: "s", Incarnation: n}, Named: perSecond != none, PerSecond: max(0, perSecond),
-		Sent: seconds(sent), Heard: seconds(heard),
+		Server: backend.Instance{ID: "s", Incarnation: n}, Limited: perSecond != none, PerSecond: max(0, perSecond),
+		RequestedAt: seconds(sent), ReceivedAt: seconds(heard),
 	}
 }
 
 // alone is the ranking of a gateway without others.
-func alone(string, uint64) ratelimit.Rank { return ratelimit.Rank{Of: 1} }
+func alone(string, uint64) ratelimit.Rank { return ratelimit.Rank{Total: 1} }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
@@ -85,10 +85,10 @@
 	It("is ended late by an answer without authentication code", func() {
 		table.Add(0, said(1, 4.2, 1, 2))
 		weak := said(1, none, 2.5, 3)
-		weak.Weak = true
+		weak.Unauthenticated = true
 		Expect(table.Add(0, weak)).To(Equal(ratelimit.Unchanged))
 		weak = said(1, none, 4, 5)
-		weak.Weak = true
+		weak.Unauthenticated = true
 		Expect(table.Add(0, weak)).To(Equal(ratelimit.Ended))
 	})
 
@@ -122,17 +122,17 @@
 		here := func(string) bool { return true }
 		gone := func(string) bool { return false }
 		table.Add(0, said(1, 4.2, 1, 2))
-		table.Forget(time.Hour, here)
+		table.Prune(time.Hour, here)
 		Expect(table.Len()).To(Equal(1))
-		table.Forget(seconds(10), gone)
+		table.Prune(seconds(10), gone)
 		Expect(table.Len()).To(Equal(1))
-		table.Forget(time.Hour, gone)
+		table.Prune(time.Hour, gone)
 		Expect(table.Len()).To(BeZero())
 		table.Add(0, said(1, 4.2, 1, 2))
 		table.Add(0, said(1, none, 2, 3))
-		table.Forget(seconds(4), here)
+		table.Prune(seconds(4), here)
 		Expect(table.Len()).To(Equal(1))
-		table.Forget(seconds(60), here)
+		table.Prune(seconds(60), here)
 		Expect(table.Len()).To(BeZero())
 	})
 
@@ -168,7 +168,7 @@
 				table.Add(0, n)
 			}
 			got, ok := table.Limit("s")
-			Expect(ok).To(Equal(last.Named), "seed %d", seed)
+			Expect(ok).To(Equal(last.Limited), "seed %d", seed)
 			if ok {
 				Expect(got).To(Equal(last.PerSecond), "seed %d", seed)
 			}
--- a/internal/decide/retry/sends.go
+++ b/internal/decide/retry/sends.go
@@ -7,7 +7,7 @@
 
 // SendLimit is what the backend servers of a service bear beyond the first send
 // of each request, from all entries together.
-type SendLimit struct {
+type AttemptLimit struct {
 	// Share of the requests, and Slack sends more, in each Window.
 	Share, Slack float64
 	Window       time.Duration
@@ -18,8 +18,8 @@
 // services whose operators bound sends and not work; each entry keeps to its
 // own requests' share and an equal part of the slack, so no entry needs to know
 // what the others send.
-type Sends struct {
-	limit   SendLimit
+type AttemptLimiter struct {
+	limit   AttemptLimit
 	buckets [sendBuckets]sendBucket
 }
 
@@ -29,14 +29,14 @@
 }
 
 // NewSends returns Sends within the limit.
-func NewSends(l SendLimit) *Sends { return &Sends{limit: l} }
+func NewAttemptLimiter(l AttemptLimit) *AttemptLimiter { return &AttemptLimiter{limit: l} }
 
 // Request counts a request.
-func (s *Sends) Request(now time.Time) { s.bucket(now).requests++ }
+func (s *AttemptLimiter) CountRequest(now time.Time) { s.bucket(now).requests++ }
 
 // Allow reports whether one more extra send is within the limit, and counts it
 // if so. Entries is the number of entries that share the slack.
-func (s *Sends) Allow(now time.Time, entries int) bool {
+func (s *AttemptLimiter) Allow(now time.Time, entries int) bool {
 	requests, extra := s.sums(now)
 	if extra+1 > s.limit.Share*requests+s.limit.Slack/float64(max(1, entries)) {
 		return false
@@ -45,11 +45,11 @@
 	return true
 }
 
-func (s *Sends) slot(now time.Time) int64 {
+func (s *AttemptLimiter) slot(now time.Time) int64 {
 	return now.UnixNano() / max(1, int64(s.limit.Window/sendBuckets))
 }
 
-func (s *Sends) bucket(now time.Time) *sendBucket {
+func (s *AttemptLimiter) bucket(now time.Time) *sendBucket {
 	slot := s.slot(now)
 	b := &s.buckets[slot%sendBuckets]
 	if b.slot != slot {
@@ -58,7 +58,7 @@
 	return b
 }
 
-func (s *Sends) sums(now time.Time) (requests, extra float64) {
+func (s *AttemptLimiter) sums(now time.Time) (requests, extra float64) {
 	oldest := s.slot(now) - sendBuckets
 	for _, b := range s.buckets {
 		if b.slot > oldest {
--- a/internal/decide/retry/sends_test.go
+++ b/internal/decide/retry/sends_test.go
@@ -10,16 +10,16 @@
 )
 
 var _ = Describe("Sends", func() {
-	limit := retry.SendLimit{Share: 0.2, Slack: 80, Window: 10 * time.Second}
+	limit := retry.AttemptLimit{Share: 0.2, Slack: 80, Window: 10 * time.Second}
 
 	// A service fails every request. Eight entries send each of them again as
 	// often as they may; together they must stay within what the service bears.
 	It("keeps all entries together within the bound in a storm", func() {
 		const entries, perSecond = 8, 10
 		extra := 0
-		var all []*retry.Sends
+		var all []*retry.AttemptLimiter
 		for range entries {
-			all = append(all, retry.NewSends(limit))
+			all = append(all, retry.NewAttemptLimiter(limit))
 		}
 		requests := 0
 		for ms := range 10_000 {
@@ -28,7 +28,7 @@
 			}
 			for _, s := range all {
 				now := at(time.Duration(ms) * time.Millisecond)
-				s.Request(now)
+				s.CountRequest(now)
 				requests++
 				for s.Allow(now, entries) {
 					extra++
@@ -40,7 +40,7 @@
 	})
 
 	It("allows again once the window is over", func() {
-		s := retry.NewSends(retry.SendLimit{Slack: 1, Window: 10 * time.Second})
+		s := retry.NewAttemptLimiter(retry.AttemptLimit{Slack: 1, Window: 10 * time.Second})
 		Expect(s.Allow(at(0), 1)).To(BeTrue())
 		Expect(s.Allow(at(5*time.Second), 1)).To(BeFalse())
 		Expect(s.Allow(at(11*time.Second), 1)).To(BeTrue())
--- a/internal/decide/roles/budget.go
+++ b/internal/decide/roles/budget.go
@@ -21,7 +21,7 @@
 // It answers a large fleet with little to do. Its share may be off by hundreds
 // of engines while each request finds an idle one, and no answer gains from
 // bringing all of them to the share.
-func Afford(engines []Engine, moves []Move, requests int64, made int) []Move {
+func LimitByDemand(engines []Engine, moves []RoleChange, requests int64, made int) []RoleChange {
 	paid := freeMoves + int(requests/requestsPerMove) - made
 	needed := leastDecode - count(engines, backend.Decode)
 	return moves[:min(len(moves), max(0, paid, needed))]
@@ -34,7 +34,7 @@
 // It answers the replacement of many engines. The new ones start in a role of their
 // own, and each change waits until the answers of its engine have ended: one at a
 // time, a fleet whose readers were replaced is short of them for a minute.
-func AtOnce(engines []Engine, moves []Move) []Move {
+func LimitConcurrent(engines []Engine, moves []RoleChange) []RoleChange {
 	most := 1
 	if len(moves) > 0 {
 		have := count(engines, moves[0].Role)
--- a/internal/decide/roles/pace.go
+++ b/internal/decide/roles/pace.go
@@ -11,12 +11,12 @@
 )
 
 // Pace is how slow an engine is compared with the others in its role.
-type Pace struct {
+type Speed struct {
 	// Slowness is how many times as long as an average one it takes, 0 while that
 	// is not known.
-	Slowness float64
+	Slowdown float64
 	// Doubt is the standard error of Slowness, as a part of it.
-	Doubt float64
+	RelativeError float64
 }
 
 // sureDoubts is by how many standard errors two engines must differ for one to
@@ -25,8 +25,8 @@
 
 // surelySlower reports whether a is slower than b by more than what chance makes
 // of two equal engines.
-func surelySlower(a, b Pace) bool {
-	return math.Log(a.Slowness/b.Slowness) > sureDoubts*math.Hypot(a.Doubt, b.Doubt)
+func surelySlower(a, b Speed) bool {
+	return math.Log(a.Slowdown/b.Slowdown) > sureDoubts*math.Hypot(a.RelativeError, b.RelativeError)
 }
 
 // fitting returns the engines of one role that fit another role better than the
@@ -37,17 +37,17 @@
 // tokens is late, and the longest answers miss their deadline. One notices by
 // long answers that are cut at some engines only.
 func fitting(engines []Engine, role backend.Role) []Engine {
-	known := lo.Filter(engines, func(e Engine, _ int) bool { return e.Pace.Slowness > 0 })
+	known := lo.Filter(engines, func(e Engine, _ int) bool { return e.Speed.Slowdown > 0 })
 	if len(known) == 0 {
 		return engines
 	}
 	better := func(a, b Engine) bool {
 		if role == backend.Decode {
-			return surelySlower(b.Pace, a.Pace)
+			return surelySlower(b.Speed, a.Speed)
 		}
-		return surelySlower(a.Pace, b.Pace)
+		return surelySlower(a.Speed, b.Speed)
 	}
-	byPace := func(a, b Engine) int { return cmp.Compare(a.Pace.Slowness, b.Pace.Slowness) }
+	byPace := func(a, b Engine) int { return cmp.Compare(a.Speed.Slowdown, b.Speed.Slowdown) }
 	best := slices.MaxFunc(known, byPace)
 	if role == backend.Decode {
 		best = slices.MinFunc(known, byPace)
--- a/internal/decide/roles/roles.go
+++ b/internal/decide/roles/roles.go
@@ -37,13 +37,13 @@
 	DataCentre string
 	Role       backend.Role
 	// Work is how much it has to do; the least busy one changes first.
-	Work int
+	InFlight int
 	// Pace is how slow it is.
-	Pace Pace
+	Speed Speed
 }
 
 // Move is one change of role.
-type Move struct {
+type RoleChange struct {
 	ID   string
 	Role backend.Role
 }
@@ -51,7 +51,7 @@
 // Decide returns the changes that bring the engines to the share, the first one
 // to make first. Engines of each role stay spread over the data centres, so that
 // a transfer seldom crosses between them and the loss of one leaves both roles.
-func Decide(engines []Engine, decodeShare float64) []Move {
+func Decide(engines []Engine, decodeShare float64) []RoleChange {
 	n := len(engines)
 	if n <= leastDecode {
 		return nil
@@ -81,18 +81,18 @@
 
 // choose takes n engines of a role: those whose speed fits the other role better,
 // and among them the least busy of the data centre that has most of the role.
-func choose(engines []Engine, from, to backend.Role, n int) []Move {
+func choose(engines []Engine, from, to backend.Role, n int) []RoleChange {
 	left := lo.Filter(engines, func(e Engine, _ int) bool { return e.Role == from })
-	var moves []Move
+	var moves []RoleChange
 	for range n {
 		have := lo.CountValuesBy(left, func(e Engine) string { return e.DataCentre })
 		next := slices.MinFunc(fitting(left, to), func(a, b Engine) int {
 			return cmp.Or(
 				cmp.Compare(have[b.DataCentre], have[a.DataCentre]), cmp.Compare(a.DataCentre, b.DataCentre),
-				cmp.Compare(a.Work, b.Work), cmp.Compare(a.ID, b.ID),
+				cmp.Compare(a.InFlight, b.InFlight), cmp.Compare(a.ID, b.ID),
 			)
 		})
-		moves = append(moves, Move{ID: next.ID, Role: to})
+		moves = append(moves, RoleChange{ID: next.ID, Role: to})
 		left = slices.DeleteFunc(left, func(e Engine) bool { return e.ID == next.ID })
 	}
 	return moves
--- a/internal/decide/roles/roles_test.go
+++ b/internal/decide/roles/roles_test.go
@@ -53,12 +53,12 @@
 
 	It("takes from the data centre that has most, and the least busy engine there", func() {
 		engines := []roles.Engine{
-			{ID: "a", DataCentre: "z0", Role: backend.Decode, Work: 9},
-			{ID: "b", DataCentre: "z0", Role: backend.Decode, Work: 1},
+			{ID: "a", DataCentre: "z0", Role: backend.Decode, InFlight: 9},
+			{ID: "b", DataCentre: "z0", Role: backend.Decode, InFlight: 1},
 			{ID: "c", DataCentre: "z1", Role: backend.Decode},
 			{ID: "d", DataCentre: "z1", Role: backend.Prefill},
 		}
-		Expect(roles.Decide(engines, 0.5)).To(Equal([]roles.Move{{ID: "b", Role: backend.Prefill}}))
+		Expect(roles.Decide(engines, 0.5)).To(Equal([]roles.RoleChange{{ID: "b", Role: backend.Prefill}}))
 	})
 
 	// Half of the fleet is lost. Whatever is left, answers must be generated
@@ -79,7 +79,7 @@
 		engines := fleet(16, 34, 4)
 		moves := roles.Decide(engines, 0.4)
 		Expect(moves).To(HaveLen(14))
-		Expect(roles.Afford(engines, moves, 0, 0)).To(Equal(moves))
+		Expect(roles.LimitByDemand(engines, moves, 0, 0)).To(Equal(moves))
 	})
 
 	// A thousand engines wait for few callers. Nobody gains from another role,
@@ -87,9 +87,9 @@
 	It("lets a large fleet change no further than its requests pay for", func() {
 		engines := fleet(400, 600, 4)
 		moves := roles.Decide(engines, 0.4)
-		Expect(len(roles.Afford(engines, moves, 1_000, 0))).To(BeNumerically("<", 25))
-		Expect(roles.Afford(engines, moves, 1_000, 30)).To(BeEmpty())
-		Expect(roles.Afford(engines, moves, 100_000, 30)).To(Equal(moves))
+		Expect(len(roles.LimitByDemand(engines, moves, 1_000, 0))).To(BeNumerically("<", 25))
+		Expect(roles.LimitByDemand(engines, moves, 1_000, 30)).To(BeEmpty())
+		Expect(roles.LimitByDemand(engines, moves, 100_000, 30)).To(Equal(moves))
 	})
 
 	// The last engines that generate are lost in a quiet hour. Prompts cannot be
@@ -97,14 +97,14 @@
 	It("never leaves a fleet without engines that generate", func() {
 		engines := fleet(20, 0, 4)
 		moves := roles.Decide(engines, 0.4)
-		Expect(roles.Afford(engines, moves, 0, 100)).To(HaveLen(2))
+		Expect(roles.LimitByDemand(engines, moves, 0, 100)).To(HaveLen(2))
 	})
 })
 
 var _ = Describe("AtOnce", func() {
-	atOnce := func(prefill, decode int, share float64) []roles.Move {
+	atOnce := func(prefill, decode int, share float64) []roles.RoleChange {
 		engines := fleet(prefill, decode, 4)
-		return roles.AtOnce(engines, roles.Decide(engines, share))
+		return roles.LimitConcurrent(engines, roles.Decide(engines, share))
 	}
 
 	It("changes busy engines one at a time", func() {
@@ -126,12 +126,12 @@
 	paced := func(slowness ...float64) []roles.Engine {
 		list := fleet(0, len(slowness), 4)
 		for i, s := range slowness {
-			list[i].Pace = roles.Pace{Slowness: s, Doubt: 0.02}
+			list[i].Speed = roles.Speed{Slowdown: s, RelativeError: 0.02}
 		}
 		return list
 	}
-	chosen := func(moves []roles.Move) []string {
-		return lo.Map(moves, func(m roles.Move, _ int) string { return m.ID })
+	chosen := func(moves []roles.RoleChange) []string {
+		return lo.Map(moves, func(m roles.RoleChange, _ int) string { return m.ID })
 	}
 
 	// An engine is lost, and one that generates has to read. If the fastest changes,
@@ -153,7 +153,7 @@
 	It("goes by work and place where the difference may be chance", func() {
 		engines := paced(1, 1.05, 1.02, 1, 1.04, 1)
 		for i := range engines {
-			engines[i].Work = 10 - i
+			engines[i].InFlight = 10 - i
 		}
 		Expect(chosen(roles.Decide(engines, 0.8))).To(Equal([]string{"e4"}))
 	})
@@ -164,42 +164,44 @@
 })
 
 var _ = Describe("DecodeShare", func() {
-	share := func(decode int, a roles.Answers) float64 { return roles.DecodeShare(fleet(10-decode, decode, 4), a) }
+	share := func(decode int, a roles.AnswerStats) float64 {
+		return roles.DecodeShare(fleet(10-decode, decode, 4), a)
+	}
 
 	// Callers of long answers come as soon as the fleet has started. An engine that
 	// changes its role by then is away for seconds.
 	It("expects long answers where routes let them last", func() {
-		Expect(share(5, roles.Answers{Longest: 59})).To(Equal(0.5))
-		Expect(share(5, roles.Answers{Longest: 20})).To(Equal(roles.DefaultDecodeShare))
+		Expect(share(5, roles.AnswerStats{MaxEvents: 59})).To(Equal(0.5))
+		Expect(share(5, roles.AnswerStats{MaxEvents: 20})).To(Equal(roles.DefaultDecodeShare))
 	})
 
 	It("has one more engine generate while many answers are expected to miss their deadlines", func() {
-		Expect(share(4, roles.Answers{Known: true, Misses: 0.3})).To(Equal(0.5))
-		Expect(share(5, roles.Answers{Known: true, Misses: 0.3})).To(Equal(0.5))
+		Expect(share(4, roles.AnswerStats{MissRateKnown: true, ExpectedMissRate: 0.3})).To(Equal(0.5))
+		Expect(share(5, roles.AnswerStats{MissRateKnown: true, ExpectedMissRate: 0.3})).To(Equal(0.5))
 	})
 
 	// A burst of long answers is over. Were the engine told to read at once, and to
 	// generate in the next burst, it would be away for a part of each.
 	It("stays between many misses and some", func() {
-		Expect(share(5, roles.Answers{Known: true, Misses: 0.15})).To(Equal(0.5))
-		Expect(share(4, roles.Answers{Known: true, Misses: 0.15})).To(Equal(0.4))
-		Expect(share(5, roles.Answers{Known: true, Misses: 0.01})).To(Equal(roles.DefaultDecodeShare))
+		Expect(share(5, roles.AnswerStats{MissRateKnown: true, ExpectedMissRate: 0.15})).To(Equal(0.5))
+		Expect(share(4, roles.AnswerStats{MissRateKnown: true, ExpectedMissRate: 0.15})).To(Equal(0.4))
+		Expect(share(5, roles.AnswerStats{MissRateKnown: true, ExpectedMissRate: 0.01})).To(Equal(roles.DefaultDecodeShare))
 	})
 
 	// Two engines that read have left a fleet of short answers. With as many that
 	// generate as before, too few read, and after the next restart prompts wait for good.
 	It("gives the engines back where answers are short and few are missed", func() {
-		Expect(share(5, roles.Answers{Known: true, Misses: 0.06, Longest: 14})).To(Equal(0.4))
-		Expect(share(5, roles.Answers{Known: true, Misses: 0.06, Longest: 59})).To(Equal(0.5))
+		Expect(share(5, roles.AnswerStats{MissRateKnown: true, ExpectedMissRate: 0.06, MaxEvents: 14})).To(Equal(0.4))
+		Expect(share(5, roles.AnswerStats{MissRateKnown: true, ExpectedMissRate: 0.06, MaxEvents: 59})).To(Equal(0.5))
 	})
 
 	// New engines joined in one role while no orders could be given.
 	It("is between the two shares whatever the engines do", func() {
 		for decode := range 11 {
 			for _, misses := range []float64{0, 0.1, 0.5} {
-				Expect(share(decode, roles.Answers{Known: true, Misses: misses})).To(And(BeNumerically(">=", 0.4), BeNumerically("<=", 0.5)))
+				Expect(share(decode, roles.AnswerStats{MissRateKnown: true, ExpectedMissRate: misses})).To(And(BeNumerically(">=", 0.4), BeNumerically("<=", 0.5)))
 			}
 		}
-		Expect(roles.DecodeShare(nil, roles.Answers{})).To(Equal(roles.DefaultDecodeShare))
+		Expect(roles.DecodeShare(nil, roles.AnswerStats{})).To(Equal(roles.DefaultDecodeShare))
 	})
 })
--- a/internal/decide/roles/share.go
+++ b/internal/decide/roles/share.go
@@ -21,13 +21,13 @@
 )
 
 // Answers is what is known of the answers that engines generate.
-type Answers struct {
+type AnswerStats struct {
 	// Misses is the part of them, by length, that is expected to miss its deadline, if
 	// it is known.
-	Misses float64
-	Known  bool
+	ExpectedMissRate float64
+	MissRateKnown    bool
 	// Longest is how many of the longest pauses between its events an answer may last.
-	Longest int
+	MaxEvents int
 }
 
 // DecodeShare returns the part of the engines that should generate.
@@ -35,19 +35,19 @@
 // It answers long answers: each holds its engine for hundreds of steps, and the more
 // of them share an engine, the longer its steps take. One notices by the longest
 // answers, which are cut by their deadlines while prompts are read in time.
-func DecodeShare(engines []Engine, a Answers) float64 {
+func DecodeShare(engines []Engine, a AnswerStats) float64 {
 	n, decode := float64(len(engines)), float64(count(engines, backend.Decode))
 	if n == 0 {
 		return DefaultDecodeShare
 	}
 	share := DefaultDecodeShare
-	if a.Longest >= longAnswer && (!a.Known || a.Misses > fewMisses) {
+	if a.MaxEvents >= longAnswer && (!a.MissRateKnown || a.ExpectedMissRate > fewMisses) {
 		share = longDecodeShare
 	}
-	if !a.Known || a.Misses < someMisses {
+	if !a.MissRateKnown || a.ExpectedMissRate < someMisses {
 		return share
 	}
-	if a.Misses > tooManyMisses {
+	if a.ExpectedMissRate > tooManyMisses {
 		decode++
 	}
 	least, most := math.Round(share*n), math.Round(longDecodeShare*n)
--- a/internal/decide/route/pieces.go
+++ b/internal/decide/route/pieces.go
@@ -13,12 +13,12 @@
 // Pieces returns the hash chain of the prompt's whole pieces, each of
 // PieceTokens tokens at BytesPerToken: two prompts with the same leading pieces
 // have the same leading hashes.
-func Pieces(prompt string) []uint64 {
-	return PiecesOf(prompt, PieceTokens*BytesPerToken)
+func PrefixBlocks(prompt string) []uint64 {
+	return PrefixBlocksOf(prompt, KVBlockTokens*BytesPerToken)
 }
 
 // PiecesOf is Pieces for pieces of the given number of bytes.
-func PiecesOf(prompt string, pieceBytes int) []uint64 {
+func PrefixBlocksOf(prompt string, pieceBytes int) []uint64 {
 	var pieces []uint64
 	var chain [8]byte
 	digest := xxhash.New()
--- a/internal/decide/route/route.go
+++ b/internal/decide/route/route.go
@@ -20,7 +20,7 @@
 )
 
 // PieceTokens is the size of a KV cache piece in tokens.
-const PieceTokens = 2_000
+const KVBlockTokens = 2_000
 
 // Role says which work a candidate is asked for.
 type Role string
--- a/internal/decide/route/route_test.go
+++ b/internal/decide/route/route_test.go
@@ -141,7 +141,7 @@
 })
 
 var _ = Describe("PrefixIndex", func() {
-	pieces := route.Pieces(strings.Repeat("gold", 3*route.PieceTokens))
+	pieces := route.PrefixBlocks(strings.Repeat("gold", 3*route.KVBlockTokens))
 
 	It("counts leading pieces only", func() {
 		x := route.NewPrefixIndex(0)
@@ -185,9 +185,9 @@
 	})
 
 	It("chains hashes, so that equal pieces after unequal ones differ", func() {
-		size := route.PieceTokens * route.BytesPerToken
-		one := route.Pieces(strings.Repeat("a", size) + strings.Repeat("c", size))
-		two := route.Pieces(strings.Repeat("b", size) + strings.Repeat("c", size))
+		size := route.KVBlockTokens * route.BytesPerToken
+		one := route.PrefixBlocks(strings.Repeat("a", size) + strings.Repeat("c", size))
+		two := route.PrefixBlocks(strings.Repeat("b", size) + strings.Repeat("c", size))
 		Expect(one).To(HaveLen(2))
 		Expect(one[1]).NotTo(Equal(two[1]))
 	})
--- a/internal/direct/direct.go
+++ b/internal/direct/direct.go
@@ -36,8 +36,8 @@
 
 // Codec writes requests and reads answers as backend servers do.
 type Codec interface {
-	Append(dst []byte, r *request.Request, o request.Options) []byte
-	Answer(status int, h http.Header) request.Answer
+	AppendRequest(dst []byte, r *request.Request, o request.Options) []byte
+	ParseResponse(status int, h http.Header) request.ResponseHead
 }
 
 // Transport sends requests to backend servers.
@@ -64,7 +64,7 @@
 
 // Answered is the head of an answer with the send that it answers.
 type Answered struct {
-	request.Answer
+	request.ResponseHead
 	Server backend.Server
 	Stage  request.Stage
 	// Sent is when the request was sent.
@@ -73,7 +73,7 @@
 
 // Reply is a backend server's answer. Its Body must be closed.
 type Reply struct {
-	request.Answer
+	request.ResponseHead
 	// Length is that of the body, -1 if unknown.
 	Length int64
 	// Body ends with io.EOF only if the answer is complete.
@@ -90,10 +90,10 @@
 	}
 	x := &exchange{transport: t, key: key, conn: c, request: r, options: &o, sent: time.Now()}
 	x.stop = context.AfterFunc(ctx, func() { c.Close() })
-	if err := c.SetDeadline(time.Now().Add(o.Left + lateSlack)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(o.Remaining + lateSlack)); err != nil {
 		return nil, x.fail(verdict.NotRun, "set deadline", err)
 	}
-	if err := x.write(t.codec.Append(nil, r, o)); err != nil {
+	if err := x.write(t.codec.AppendRequest(nil, r, o)); err != nil {
 		return nil, err
 	}
 	return x.readHead()
@@ -121,7 +121,7 @@
 		t.reused.Inc(1)
 		return c, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, min(dialTimeout, o.Left))
+	ctx, cancel := context.WithTimeout(ctx, min(dialTimeout, o.Remaining))
 	defer cancel()
 	c, err := dial(ctx, o.Server.Address)
 	if err != nil {
@@ -190,9 +190,9 @@
 		if err != nil {
 			return nil, x.failRead(err)
 		}
-		a := x.transport.codec.Answer(resp.StatusCode, resp.Header)
+		a := x.transport.codec.ParseResponse(resp.StatusCode, resp.Header)
 		if a.ID == x.request.ID || (a.ID == "" && a.NotRun && !x.extra) {
-			x.transport.OnAnswer(Answered{Answer: a, Server: x.options.Server, Stage: x.options.Stage, Sent: x.sent})
+			x.transport.OnAnswer(Answered{ResponseHead: a, Server: x.options.Server, Stage: x.options.Stage, Sent: x.sent})
 			return x.reply(resp, a), nil
 		}
 		x.extra = true
@@ -216,10 +216,10 @@
 	}
 }
 
-func (x *exchange) reply(resp *http.Response, a request.Answer) *Reply {
+func (x *exchange) reply(resp *http.Response, a request.ResponseHead) *Reply {
 	x.keep = !resp.Close && !x.extra && resp.ContentLength >= -1 && !endsWithConnection(resp)
 	x.conn.keepFor = a.KeepFor
-	return &Reply{Answer: a, Length: resp.ContentLength, Body: &body{ReadCloser: resp.Body, exchange: x}}
+	return &Reply{ResponseHead: a, Length: resp.ContentLength, Body: &body{ReadCloser: resp.Body, exchange: x}}
 }
 
 // endsWithConnection reports whether only the end of the connection ends the
--- a/internal/direct/direct_test.go
+++ b/internal/direct/direct_test.go
@@ -78,7 +78,7 @@
 func send(t *direct.Transport, address, id string, body []byte) (string, error) {
 	r := &request.Request{ID: id, Method: http.MethodPost, Target: "/x", Host: "h", Body: body, Header: http.Header{"Request-Id": {id}}}
 	reply, err := t.Send(context.Background(), r, request.Options{
-		Server: backend.Server{ID: "i-1", Address: address}, Left: time.Second, Priority: request.DefaultPriority,
+		Server: backend.Server{ID: "i-1", Address: address}, Remaining: time.Second, Priority: request.DefaultPriority,
 	})
 	if err != nil {
 		return "", err
--- a/internal/engine/body.go
+++ b/internal/engine/body.go
@@ -9,7 +9,7 @@
 )
 
 // ErrTooLate says that a request was not sent because its time was over.
-var ErrTooLate = eris.New("too late to send the request")
+var ErrDeadlinePassed = eris.New("too late to send the request")
 
 // timedBody is the body of an HTTP request that holds itself back once its time
 // is over.
@@ -25,14 +25,14 @@
 
 // NewTimedBody returns a body that fails with ErrTooLate from the time given; a
 // zero time is no limit.
-func NewTimedBody(data []byte, before time.Time) io.ReadCloser {
+func NewDeadlineBody(data []byte, before time.Time) io.ReadCloser {
 	return &timedBody{data: bytes.NewReader(data), before: before}
 }
 
 // Read implements io.Reader.
 func (b *timedBody) Read(p []byte) (int, error) {
 	if !b.before.IsZero() && !time.Now().Before(b.before) {
-		return 0, ErrTooLate
+		return 0, ErrDeadlinePassed
 	}
 	return b.data.Read(p)
 }
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -52,14 +52,14 @@
 
 // line is one line of an answer; one field is set.
 type line struct {
-	Piece  *Piece  `json:"piece,omitempty"`
+	Piece  *Chunk  `json:"piece,omitempty"`
 	Finish *Finish `json:"finish,omitempty"`
 	Error  string  `json:"error,omitempty"`
 }
 
 // Generate implements Engine.
-func (c *Client) Generate(ctx context.Context, r Request, emit func(Piece) error) (Finish, error) {
-	resp, err := c.post(ctx, "/generate", r, r.StartBefore)
+func (c *Client) Generate(ctx context.Context, r Request, emit func(Chunk) error) (Finish, error) {
+	resp, err := c.post(ctx, "/generate", r, r.SendDeadline)
 	if err != nil {
 		return Finish{}, err
 	}
@@ -73,19 +73,19 @@
 // readAnswer passes the pieces on until the line that ends the answer. An
 // engine that crashes leaves an answer that merely stops; without the last line
 // it would pass for a shorter whole one.
-func readAnswer(body io.Reader, emit func(Piece) error) (Finish, error) {
+func readAnswer(body io.Reader, emit func(Chunk) error) (Finish, error) {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, maxLine)
 	for lines.Scan() {
 		var l line
 		if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
-			return Finish{}, eris.Wrap(ErrBroken, "unreadable line: "+err.Error())
+			return Finish{}, eris.Wrap(ErrInterrupted, "unreadable line: "+err.Error())
 		}
 		switch {
 		case l.Finish != nil:
 			return *l.Finish, nil
 		case l.Error != "":
-			return Finish{}, eris.Wrap(ErrFailed, l.Error)
+			return Finish{}, eris.Wrap(ErrRequestFailed, l.Error)
 		case l.Piece != nil:
 			if err := emit(*l.Piece); err != nil {
 				return Finish{}, err
@@ -93,9 +93,9 @@
 		}
 	}
 	if err := lines.Err(); err != nil {
-		return Finish{}, eris.Wrap(ErrBroken, err.Error())
+		return Finish{}, eris.Wrap(ErrInterrupted, err.Error())
 	}
-	return Finish{}, eris.Wrap(ErrBroken, "answer has no end")
+	return Finish{}, eris.Wrap(ErrInterrupted, "answer has no end")
 }
 
 // Cancel implements Engine.
@@ -153,14 +153,14 @@
 	if err != nil {
 		return nil, eris.Wrap(ErrNotSent, err.Error())
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+path, NewTimedBody(data, before))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+path, NewDeadlineBody(data, before))
 	if err != nil {
 		return nil, eris.Wrap(ErrNotSent, err.Error())
 	}
 	req.ContentLength = int64(len(data))
 	// With GetBody, net/http sends a POST again if the idle connection that it
 	// picked had been closed and nothing was written; never after that.
-	req.GetBody = func() (io.ReadCloser, error) { return NewTimedBody(data, before), nil }
+	req.GetBody = func() (io.ReadCloser, error) { return NewDeadlineBody(data, before), nil }
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := c.http.Do(req)
 	if err != nil {
@@ -174,10 +174,10 @@
 // request was sent.
 func sendError(err error) error {
 	var op *net.OpError
-	if errors.Is(err, ErrTooLate) || errors.As(err, &op) && op.Op == "dial" {
+	if errors.Is(err, ErrDeadlinePassed) || errors.As(err, &op) && op.Op == "dial" {
 		return eris.Wrap(ErrNotSent, err.Error())
 	}
-	return eris.Wrap(ErrBroken, err.Error())
+	return eris.Wrap(ErrInterrupted, err.Error())
 }
 
 // generateError tells a request that the engine failed from an engine that
@@ -187,13 +187,13 @@
 	case resp.StatusCode == http.StatusConflict,
 		resp.StatusCode == http.StatusTooManyRequests,
 		resp.StatusCode == http.StatusServiceUnavailable:
-		return eris.Wrap(ErrRefused, resp.Status)
+		return eris.Wrap(ErrRejected, resp.Status)
 	case resp.StatusCode >= http.StatusInternalServerError:
-		return eris.Wrap(ErrFailed, resp.Status)
+		return eris.Wrap(ErrRequestFailed, resp.Status)
 	case resp.StatusCode >= http.StatusBadRequest:
-		return eris.Wrap(ErrInvalid, resp.Status)
+		return eris.Wrap(ErrInvalidRequest, resp.Status)
 	default:
-		return eris.Wrap(ErrBroken, resp.Status)
+		return eris.Wrap(ErrInterrupted, resp.Status)
 	}
 }
 
@@ -202,9 +202,9 @@
 func statusError(resp *http.Response) error {
 	switch resp.StatusCode {
 	case http.StatusConflict, http.StatusServiceUnavailable:
-		return eris.Wrap(ErrRefused, resp.Status)
+		return eris.Wrap(ErrRejected, resp.Status)
 	default:
-		return eris.Wrap(ErrBroken, resp.Status)
+		return eris.Wrap(ErrInterrupted, resp.Status)
 	}
 }
 
@@ -224,7 +224,7 @@
 	}
 	err = json.NewDecoder(io.LimitReader(resp.Body, maxReport)).Decode(&report)
 	if err != nil {
-		return report, eris.Wrap(ErrBroken, err.Error())
+		return report, eris.Wrap(ErrInterrupted, err.Error())
 	}
 	return report, nil
 }
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -35,7 +35,7 @@
 	// part for the whole.
 	DescribeTable("does not take a part for the whole", func(lines ...string) {
 		_, _, err := generate(answering(200, lines...))
-		Expect(err).To(MatchError(engine.ErrBroken))
+		Expect(err).To(MatchError(engine.ErrInterrupted))
 	},
 		Entry("no end", `{"piece":{"text":"a","tokens":1}}`),
 		Entry("nothing at all"),
@@ -46,8 +46,8 @@
 	// crash, one bad prompt would stop all work of the engine again and again.
 	It("tells a failed request from a failed engine", func() {
 		_, _, err := generate(answering(200, `{"piece":{"text":"a","tokens":1}}`, `{"error":"out of memory"}`))
-		Expect(err).To(MatchError(engine.ErrFailed))
-		Expect(err).NotTo(MatchError(engine.ErrBroken))
+		Expect(err).To(MatchError(engine.ErrRequestFailed))
+		Expect(err).NotTo(MatchError(engine.ErrInterrupted))
 	})
 
 	// Whether a request may be sent again depends on what the engine did with
@@ -56,11 +56,11 @@
 		_, _, err := generate(answering(status))
 		Expect(err).To(MatchError(want))
 	},
-		Entry("busy", http.StatusServiceUnavailable, engine.ErrRefused),
-		Entry("conflict", http.StatusConflict, engine.ErrRefused),
-		Entry("throttled", http.StatusTooManyRequests, engine.ErrRefused),
-		Entry("invalid", http.StatusBadRequest, engine.ErrInvalid),
-		Entry("fault", http.StatusInternalServerError, engine.ErrFailed),
+		Entry("busy", http.StatusServiceUnavailable, engine.ErrRejected),
+		Entry("conflict", http.StatusConflict, engine.ErrRejected),
+		Entry("throttled", http.StatusTooManyRequests, engine.ErrRejected),
+		Entry("invalid", http.StatusBadRequest, engine.ErrInvalidRequest),
+		Entry("fault", http.StatusInternalServerError, engine.ErrRequestFailed),
 	)
 
 	It("knows when nobody was there", func() {
@@ -88,7 +88,7 @@
 			}
 		})
 		defer stop()
-		_, err := client.Generate(context.Background(), engine.Request{StartBefore: time.Now()}, nil)
+		_, err := client.Generate(context.Background(), engine.Request{SendDeadline: time.Now()}, nil)
 		Expect(err).To(MatchError(engine.ErrNotSent))
 		Expect(whole.Load()).To(BeZero())
 	})
@@ -110,7 +110,7 @@
 	client, stop := serve(handler)
 	defer stop()
 	text := strings.Builder{}
-	finish, err := client.Generate(context.Background(), engine.Request{}, func(p engine.Piece) error {
+	finish, err := client.Generate(context.Background(), engine.Request{}, func(p engine.Chunk) error {
 		text.WriteString(p.Text)
 		return nil
 	})
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -10,7 +10,7 @@
 )
 
 // PieceTokens is how many prompt tokens one piece of the KV cache holds.
-const PieceTokens = 2000
+const KVBlockTokens = 2000
 
 // Role says which work an engine takes.
 type Role string
@@ -49,11 +49,11 @@
 	// request is sent; 0: not told.
 	TimeoutMS int64 `json:"timeout_ms,omitempty"`
 	// StartBefore is when the request must no longer be sent; zero: no limit.
-	StartBefore time.Time `json:"-"`
+	SendDeadline time.Time `json:"-"`
 }
 
 // Piece is a run of output tokens.
-type Piece struct {
+type Chunk struct {
 	Text   string `json:"text"`
 	Tokens int    `json:"tokens"`
 }
@@ -118,17 +118,17 @@
 	// ErrNotSent says that the engine was not reached: nothing ran.
 	ErrNotSent = eris.New("engine not reached")
 	// ErrRefused says that the engine turned the request or order down.
-	ErrRefused = eris.New("engine refused")
+	ErrRejected = eris.New("engine refused")
 	// ErrFenced says that the engine has taken a higher generation.
 	ErrFenced = eris.New("engine has taken a newer order")
 	// ErrInvalid says that the engine turned the request down for good: nothing
 	// ran, and nothing will.
-	ErrInvalid = eris.New("engine rejected the request")
+	ErrInvalidRequest = eris.New("engine rejected the request")
 	// ErrFailed says that the engine itself reported the failure of one request.
 	// It may have run; the engine goes on.
-	ErrFailed = eris.New("engine failed the request")
+	ErrRequestFailed = eris.New("engine failed the request")
 	// ErrBroken says that the engine stopped part-way, without a word.
-	ErrBroken = eris.New("engine broke off")
+	ErrInterrupted = eris.New("engine broke off")
 )
 
 // Engine is one model engine.
@@ -136,7 +136,7 @@
 	// Generate runs r and calls emit for each piece, in order. It returns
 	// ErrNotSent, ErrRefused, ErrInvalid, ErrFailed or ErrBroken, or the error of
 	// emit.
-	Generate(ctx context.Context, r Request, emit func(Piece) error) (Finish, error)
+	Generate(ctx context.Context, r Request, emit func(Chunk) error) (Finish, error)
 	// Cancel stops a generation; one that is unknown is no error.
 	Cancel(ctx context.Context, id string) error
 	// Order returns once the engine has taken the order, not once it is ready:
--- a/internal/entry/router/admit.go
+++ b/internal/entry/router/admit.go
@@ -52,16 +52,16 @@
 		RunTime:    e.run,
 		Class:      r.Class,
 		Service:    r.Service,
-	}, admit.Picture{
-		QueueWait: e.wait,
-		DrainRate: e.drain,
-		Part:      s.part(),
+	}, admit.LoadSnapshot{
+		QueueDelay: e.wait,
+		DrainRate:  e.drain,
+		EntryShare: s.part(),
 		// The owner of a key alone can run it: whether others admit says
 		// nothing.
-		Closed: !ok && !r.Keyed,
+		NoCapacity: !ok && !r.Keyed,
 	})
 	if r.Model != "" {
-		g.meter.Add(now, int(decision.Entitled*float64(p.uncached(r))), int(decision.Entitled*output(r)))
+		g.meter.Add(now, int(decision.EntitledFraction*float64(p.uncached(r))), int(decision.EntitledFraction*output(r)))
 	}
 	return s.admitted(now, r, decision, e)
 }
@@ -190,6 +190,6 @@
 		return
 	}
 	if _, ok := g.terms[r.Caller]; !ok {
-		g.terms[r.Caller] = admit.Terms{Limit: g.limit}
+		g.terms[r.Caller] = admit.AccountPolicy{Limit: g.limit}
 	}
 }
--- a/internal/entry/router/candidates.go
+++ b/internal/entry/router/candidates.go
@@ -116,5 +116,5 @@
 
 // uncached is the prompt that p still has to read.
 func (p pick) uncached(r *Request) int {
-	return max(1, r.PromptTokens-route.PieceTokens*p.candidate.CachedPieces)
+	return max(1, r.PromptTokens-route.KVBlockTokens*p.candidate.CachedPieces)
 }
--- a/internal/entry/router/group.go
+++ b/internal/entry/router/group.go
@@ -55,7 +55,7 @@
 	// limit is the cost tokens a second of one account, 0 without; terms holds
 	// the accounts that were given it.
 	limit    float64
-	terms    map[string]admit.Terms
+	terms    map[string]admit.AccountPolicy
 	outliers map[route.Role]*outlier.Detector
 }
 
@@ -85,8 +85,8 @@
 	}
 	if g.terms == nil || limit != g.limit {
 		g.limit = limit
-		g.terms = map[string]admit.Terms{}
-		g.admitter.SetTerms(g.terms)
+		g.terms = map[string]admit.AccountPolicy{}
+		g.admitter.SetPolicies(g.terms)
 	}
 }
 
@@ -155,7 +155,7 @@
 	}
 	for key, u := range usages {
 		if g, ok := s.groups[key]; ok {
-			g.admitter.MergeRemote(now, p.Process, u)
+			g.admitter.SetRemoteUsage(now, p.Process, u)
 		}
 	}
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -35,7 +35,7 @@
 		"request %s of route %s is sent again after %s", c.id, c.route.Name, c.verdict)
 	c.sends++
 	o.Server = server
-	o.Left = c.left()
+	o.Remaining = c.left()
 	c.trace.server = server.ID
 	c.sentAt = time.Now()
 	reply, err := c.gateway.transport.Send(ctx, &c.request, o)
@@ -101,7 +101,7 @@
 		return true
 	}
 	limits := c.gateway.limits
-	if limits.allows(server) && !(c.standing.Suspect() && limits.has(server)) {
+	if limits.allows(server) && !(c.standing.Suspected() && limits.has(server)) {
 		return false
 	}
 	if c.limitedBy == nil {
@@ -118,7 +118,7 @@
 		return verdict.Refused(verdict.CodeNoBackend, message, unknownRetry)
 	}
 	wait := c.gateway.limits.wait(lo.Keys(c.limitedBy))
-	return verdict.Refused(verdict.CodeServerLimit, message+" that is not over its own limit", min(wait, max(leastRetry, place.LatestReturn(c.left()))))
+	return verdict.Refused(verdict.CodeServerLimit, message+" that is not over its own limit", min(wait, max(leastRetry, place.MaxRetryAfter(c.left()))))
 }
 
 // unusable tells why an answer cannot be passed on: a success without the
--- a/internal/gateway/call_test.go
+++ b/internal/gateway/call_test.go
@@ -35,10 +35,10 @@
 func TestQuarantinedRequestsAreCountedOnce(t *testing.T) {
 	g := &Gateway{endings: newEndings()}
 	c := &call{gateway: g, identity: 1, deadline: time.Now().Add(time.Minute)}
-	for i := range quarantine.Limit {
+	for i := range quarantine.TerminationThreshold {
 		ended := time.Now().Add(time.Duration(i) * time.Second)
 		g.endings.list.Add(time.Now(), quarantine.Evidence{
-			Request: 1, Instance: backend.Instance{ID: strconv.Itoa(i)}, Began: ended.Add(-time.Millisecond), At: ended,
+			Request: 1, Instance: backend.Instance{ID: strconv.Itoa(i)}, SentAt: ended.Add(-time.Millisecond), ObservedAt: ended,
 		})
 	}
 	counter := metrics.GetOrRegisterCounter("gateway.requests_quarantined", nil)
--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -71,7 +71,7 @@
 	w.waitFor("gateways know all", func() bool {
 		for _, g := range w.gateways {
 			v := g.dir.View()
-			if v.Table == nil || len(v.Servers) != engines || g.peers.Count() != gateways {
+			if v.Table == nil || len(v.Servers) != engines || g.peers.GatewayCount() != gateways {
 				return false
 			}
 		}
@@ -131,12 +131,12 @@
 		Dialect: platform.Dialect{}, Directory: g.dir,
 	})
 	g.dir.OnChange = g.ViewChanged
-	p, err := peers.New(peers.Config{Name: "f-" + strconv.Itoa(n), Start: rand.Uint64(), Address: "127.0.0.1:0"}, g.Gateway)
+	p, err := peers.New(peers.Config{Name: "f-" + strconv.Itoa(n), StartID: rand.Uint64(), Address: "127.0.0.1:0"}, g.Gateway)
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	g.peers = p
-	g.ShareWith(p)
+	g.SetGossip(p)
 	ctx, stop := context.WithCancel(context.Background())
 	w.t.Cleanup(stop)
 	for _, duty := range []func(context.Context) error{
--- a/internal/gateway/dump.go
+++ b/internal/gateway/dump.go
@@ -27,7 +27,7 @@
 	// Work is how many requests of all gateways an engine has.
 	Work int `json:"work"`
 	// Belief is what is learned of a model engine, absent for others.
-	Belief *place.Belief `json:"belief,omitempty"`
+	Belief *place.EngineEstimate `json:"belief,omitempty"`
 	// Limit is what the server names as its limit, absent if it names none.
 	Limit *LimitDump `json:"limit,omitempty"`
 }
@@ -55,7 +55,7 @@
 		d.ConfigVersion = v.Table.Version
 	}
 	for _, s := range v.Servers {
-		d.Servers = append(d.Servers, ServerDump{Server: s, Work: g.EngineWork(s.Service, s.ID), Belief: g.engineBelief(now, s), Limit: g.limits.dump(s.ID)})
+		d.Servers = append(d.Servers, ServerDump{Server: s, Work: g.EngineInFlight(s.Service, s.ID), Belief: g.engineBelief(now, s), Limit: g.limits.dump(s.ID)})
 	}
 	return d
 }
--- a/internal/gateway/endings.go
+++ b/internal/gateway/endings.go
@@ -52,7 +52,7 @@
 	pending map[backend.Instance]map[request.Fingerprint]time.Time
 	// running are the requests under suspicion that run at a server now.
 	running map[request.Fingerprint]struct{}
-	share   Share
+	share   Gossip
 
 	ended metrics.Counter
 }
@@ -112,22 +112,22 @@
 	line.Info("server ended under requests")
 	e.ended.Inc(1)
 	for _, f := range requests {
-		e.add(quarantine.Evidence{Request: f, Instance: s.Instance(), Began: began[f], At: at})
+		e.add(quarantine.Evidence{Request: f, Instance: s.Instance(), SentAt: began[f], ObservedAt: at})
 	}
 }
 
 // add takes in this gateway's own evidence and tells it.
 func (e *endings) add(evidence quarantine.Evidence) {
 	if e.list.Add(time.Now(), evidence) {
-		e.share.ServerEnded(evidence)
+		e.share.AnnounceTermination(evidence)
 	}
 }
 
 // standing returns what is known of a request.
-func (e *endings) standing(f request.Fingerprint) quarantine.Standing {
+func (e *endings) standing(f request.Fingerprint) quarantine.Status {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.list.Standing(time.Now(), f)
+	return e.list.Status(time.Now(), f)
 }
 
 // begin notes that a request under suspicion goes to a server. It returns false if it
@@ -150,13 +150,13 @@
 func (e *endings) endedWell(f request.Fingerprint) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.list.Standing(time.Now(), f).Suspect() {
-		e.add(quarantine.Evidence{Request: f, At: time.Now()})
+	if e.list.Status(time.Now(), f).Suspected() {
+		e.add(quarantine.Evidence{Request: f, ObservedAt: time.Now()})
 	}
 }
 
 // RemoteServerEnded takes in evidence of another gateway.
-func (g *Gateway) RemoteServerEnded(evidence quarantine.Evidence) {
+func (g *Gateway) RemoteTermination(evidence quarantine.Evidence) {
 	e := g.endings
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -168,8 +168,8 @@
 	e := g.endings
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, evidence := range e.list.ToTell(now, mostRetold) {
-		e.share.ServerEndedAgain(evidence)
+	for _, evidence := range e.list.PendingAnnouncements(now, mostRetold) {
+		e.share.ReannounceTermination(evidence)
 	}
 }
 
@@ -246,7 +246,7 @@
 		return nil
 	}
 	c.standing = e.standing(c.fingerprint())
-	if !c.standing.Refuse {
+	if !c.standing.Quarantined {
 		return nil
 	}
 	return verdict.Refused(verdict.CodeQuarantined, "servers ended under this request: "+c.endedServers(), c.standing.RetryAfter)
@@ -254,8 +254,8 @@
 
 // endedServers names the servers that ended under the request, with how long ago.
 func (c *call) endedServers() string {
-	return strings.Join(lo.Map(c.standing.Ended, func(e quarantine.Evidence, _ int) string {
-		return e.Instance.ID + " " + time.Since(e.At).Round(time.Millisecond).String() + " ago"
+	return strings.Join(lo.Map(c.standing.Terminations, func(e quarantine.Evidence, _ int) string {
+		return e.Instance.ID + " " + time.Since(e.ObservedAt).Round(time.Millisecond).String() + " ago"
 	}), ", ")
 }
 
--- a/internal/gateway/engines.go
+++ b/internal/gateway/engines.go
@@ -18,26 +18,26 @@
 
 // Share tells the other entries what this one does at the engines. Its methods
 // do not block.
-type Share interface {
-	Placed(p place.Placement)
-	ReadDone(id place.JobID)
-	Ended(id place.JobID)
+type Gossip interface {
+	AnnouncePlacement(p place.Placement)
+	AnnouncePrefillDone(id place.JobID)
+	AnnounceFinished(id place.JobID)
 	// Avoid tells that an engine refuses work for a while.
-	Avoid(service, engine string, d time.Duration)
+	AnnounceAvoid(service, engine string, d time.Duration)
 	// ServerEnded tells all that a server ended under a request, or that it ended well;
 	// ServerEndedAgain tells some of them once more.
-	ServerEnded(e quarantine.Evidence)
-	ServerEndedAgain(e quarantine.Evidence)
+	AnnounceTermination(e quarantine.Evidence)
+	ReannounceTermination(e quarantine.Evidence)
 	// ServerLimit tells all what a server said of its limit; ServerLimitAgain tells some
 	// of them once more.
-	ServerLimit(n ratelimit.Notice)
-	ServerLimitAgain(n ratelimit.Notice)
+	AnnounceServerLimit(n ratelimit.Notice)
+	ReannounceServerLimit(n ratelimit.Notice)
 	// RankFor ranks this entry among those that could send to a server.
 	RankFor(server string, round uint64) ratelimit.Rank
 	// Membership differs from an earlier one if ranks may have changed since.
-	Membership() uint64
+	MembershipVersion() uint64
 	// Count returns how many entries there are, this one included.
-	Count() int
+	GatewayCount() int
 	// JoinGroup returns this entry's group among a number of groups. From then
 	// on placements and their ends are told to its entries only.
 	JoinGroup(count uint64) place.Group
@@ -46,18 +46,18 @@
 // noShare is the Share of an entry that has no others.
 type noShare struct{}
 
-func (noShare) Placed(place.Placement)                {}
-func (noShare) ReadDone(place.JobID)                  {}
-func (noShare) Ended(place.JobID)                     {}
-func (noShare) Avoid(string, string, time.Duration)   {}
-func (noShare) ServerEnded(quarantine.Evidence)       {}
-func (noShare) ServerEndedAgain(quarantine.Evidence)  {}
-func (noShare) ServerLimit(ratelimit.Notice)          {}
-func (noShare) ServerLimitAgain(ratelimit.Notice)     {}
-func (noShare) RankFor(string, uint64) ratelimit.Rank { return ratelimit.Rank{Of: 1} }
-func (noShare) Membership() uint64                    { return 0 }
-func (noShare) Count() int                            { return 1 }
-func (noShare) JoinGroup(uint64) place.Group          { return place.Group{} }
+func (noShare) AnnouncePlacement(place.Placement)           {}
+func (noShare) AnnouncePrefillDone(place.JobID)             {}
+func (noShare) AnnounceFinished(place.JobID)                {}
+func (noShare) AnnounceAvoid(string, string, time.Duration) {}
+func (noShare) AnnounceTermination(quarantine.Evidence)     {}
+func (noShare) ReannounceTermination(quarantine.Evidence)   {}
+func (noShare) AnnounceServerLimit(ratelimit.Notice)        {}
+func (noShare) ReannounceServerLimit(ratelimit.Notice)      {}
+func (noShare) RankFor(string, uint64) ratelimit.Rank       { return ratelimit.Rank{Total: 1} }
+func (noShare) MembershipVersion() uint64                   { return 0 }
+func (noShare) GatewayCount() int                           { return 1 }
+func (noShare) JoinGroup(uint64) place.Group                { return place.Group{} }
 
 // engines is the load of all model engines, by service.
 type engines struct {
@@ -65,7 +65,7 @@
 	fleets map[string]*place.Fleet
 	// names are the engines by their hashes.
 	names map[uint32]engineName
-	share Share
+	share Gossip
 	// count is how many engines there are.
 	count  int
 	limits *limits
@@ -102,7 +102,7 @@
 		}
 		e.count += len(list)
 		f.SetEngines(list)
-		f.SetTransfer(transferPerToken(service.Engine.KVTokenBytes, service.Engine.LinkMbps))
+		f.SetKVTransferTime(transferPerToken(service.Engine.KVTokenBytes, service.Engine.LinkMbps))
 	}
 }
 
@@ -126,7 +126,7 @@
 
 // group returns this entry's group.
 func (e *engines) group() place.Group {
-	return e.share.JoinGroup(place.Groups(e.share.Count(), e.count))
+	return e.share.JoinGroup(place.GroupCount(e.share.GatewayCount(), e.count))
 }
 
 // joinGroup has this entry take in its group, also while it places nothing.
@@ -138,16 +138,16 @@
 
 // place chooses engines for a job and, if it is let in, notes that it goes
 // there. It returns false if no engine could run it.
-func (e *engines) place(now time.Time, service string, j place.Job, u place.Urgency) (place.Plan, place.Admission, bool) {
+func (e *engines) place(now time.Time, service string, j place.Job, u place.Constraints) (place.Plan, place.Admission, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	f := e.fleet(service)
 	j.Group = e.group()
 	p, a, ok := f.Plan(now, j, u)
 	if ok && a.Admit {
-		placement := place.Placement{ID: j.ID, Prompt: j.Prompt, Plan: p, Left: u.Left}
-		f.Placed(now, placement)
-		e.share.Placed(placement)
+		placement := place.Placement{ID: j.ID, Prompt: j.Prompt, Plan: p, Remaining: u.Remaining}
+		f.AddPlacement(now, placement)
+		e.share.AnnouncePlacement(placement)
 		e.takeFrom(p)
 	}
 	return p, a, ok
@@ -155,17 +155,17 @@
 
 // takeFrom notes the sends of a plan at engines with limits.
 func (e *engines) takeFrom(p place.Plan) {
-	e.limits.take(p.Reader)
+	e.limits.take(p.PrefillEngine)
 	if p.Split() {
-		e.limits.take(p.Decoder)
+		e.limits.take(p.DecodeEngine)
 	}
 }
 
 func (e *engines) readDone(service string, id place.JobID) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.fleet(service).OwnReadDone(time.Now(), id)
-	e.share.ReadDone(id)
+	e.fleet(service).LocalPrefillDone(time.Now(), id)
+	e.share.AnnouncePrefillDone(id)
 }
 
 // firstToken notes that the answer to a job begins.
@@ -173,7 +173,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.fleet(service).FirstToken(time.Now(), id) {
-		e.share.ReadDone(id)
+		e.share.AnnouncePrefillDone(id)
 	}
 }
 
@@ -181,21 +181,21 @@
 func (e *engines) answered(service string, hint, events int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.fleet(service).Answered(hint, events)
+	e.fleet(service).ObserveAnswerLength(hint, events)
 }
 
 // event notes the time between two events of an answer.
 func (e *engines) event(service string, id place.JobID, gap time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.fleet(service).Event(time.Now(), id, gap)
+	e.fleet(service).ObserveInterEventTime(time.Now(), id, gap)
 }
 
 func (e *engines) ended(service string, id place.JobID) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.fleet(service).Ended(time.Now(), id)
-	e.share.Ended(id)
+	e.fleet(service).JobFinished(time.Now(), id)
+	e.share.AnnounceFinished(id)
 }
 
 // avoid keeps an engine out that this entry could not reach or that failed it.
@@ -209,53 +209,53 @@
 // refused keeps an engine out that refuses work, for all entries.
 func (e *engines) refused(service, id string, d time.Duration) {
 	e.avoid(service, id, d)
-	e.share.Avoid(service, id, d)
+	e.share.AnnounceAvoid(service, id, d)
 }
 
 // otherDecoder moves a job to another engine after its first refused.
-func (e *engines) otherDecoder(now time.Time, service string, j place.Job, u place.Urgency, p place.Plan) (place.Plan, bool) {
+func (e *engines) otherDecoder(now time.Time, service string, j place.Job, u place.Constraints, p place.Plan) (place.Plan, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	f := e.fleet(service)
 	j.Group = e.group()
-	p, ok := f.OtherDecoder(now, j, u, p)
+	p, ok := f.AlternateDecodeEngine(now, j, u, p)
 	if ok {
-		f.Moved(now, j.ID, p.Decoder)
-		e.limits.take(p.Decoder)
+		f.SetDecodeEngine(now, j.ID, p.DecodeEngine)
+		e.limits.take(p.DecodeEngine)
 	}
 	return p, ok
 }
 
 // EngineWork returns how many requests an engine has, of all entries.
-func (g *Gateway) EngineWork(service, id string) int {
+func (g *Gateway) EngineInFlight(service, id string) int {
 	g.engines.mu.Lock()
 	defer g.engines.mu.Unlock()
-	return g.engines.fleet(service).Work(id)
+	return g.engines.fleet(service).InFlight(id)
 }
 
 // EnginePace returns how slow an engine is, compared with the others of its service.
-func (g *Gateway) EnginePace(service, id string) roles.Pace {
+func (g *Gateway) EngineSpeed(service, id string) roles.Speed {
 	g.engines.mu.Lock()
 	defer g.engines.mu.Unlock()
-	return g.engines.fleet(service).Pace(id)
+	return g.engines.fleet(service).Speed(id)
 }
 
 // EngineMisses returns the part of a service's answers, by length, that is expected to
 // miss its deadline; false while that is not known.
-func (g *Gateway) EngineMisses(service string) (float64, bool) {
+func (g *Gateway) ExpectedMissRate(service string) (float64, bool) {
 	g.engines.mu.Lock()
 	defer g.engines.mu.Unlock()
-	return g.engines.fleet(service).Misses(time.Now())
+	return g.engines.fleet(service).ExpectedMissRate(time.Now())
 }
 
 // engineBelief is what is learned of a model engine, nil for other servers.
-func (g *Gateway) engineBelief(now time.Time, s backend.Server) *place.Belief {
+func (g *Gateway) engineBelief(now time.Time, s backend.Server) *place.EngineEstimate {
 	if s.Role == backend.NoRole {
 		return nil
 	}
 	g.engines.mu.Lock()
 	defer g.engines.mu.Unlock()
-	b, ok := g.engines.fleet(s.Service).Belief(now, s.ID)
+	b, ok := g.engines.fleet(s.Service).EngineEstimate(now, s.ID)
 	if !ok {
 		return nil
 	}
@@ -264,28 +264,28 @@
 
 // EngineRequests returns how many requests of a service all entries have placed
 // since this one was started.
-func (g *Gateway) EngineRequests(service string) int64 {
+func (g *Gateway) EnginePlacements(service string) int64 {
 	g.engines.mu.Lock()
 	defer g.engines.mu.Unlock()
 	// This entry hears of its group's; the other groups have as many.
-	return g.engines.fleet(service).Requests() * int64(max(1, g.engines.group().Count))
+	return g.engines.fleet(service).Placements() * int64(max(1, g.engines.group().Count))
 }
 
 // EngineKeeps notes parts of prompts that an engine said it keeps.
-func (g *Gateway) EngineKeeps(service, id string, parts []request.Part) {
+func (g *Gateway) AddCachedSegments(service, id string, parts []request.Segment) {
 	g.engines.mu.Lock()
 	defer g.engines.mu.Unlock()
-	g.engines.fleet(service).Keeps(id, parts)
+	g.engines.fleet(service).AddCachedSegments(id, parts)
 }
 
 // LearnedState returns what was learned of the engines, by service; empty while too
 // little was seen.
-func (g *Gateway) LearnedState() map[string]place.State {
+func (g *Gateway) LearnedState() map[string]place.Snapshot {
 	g.engines.mu.Lock()
 	defer g.engines.mu.Unlock()
-	all := make(map[string]place.State)
+	all := make(map[string]place.Snapshot)
 	for name, f := range g.engines.fleets {
-		if s, ok := f.State(); ok {
+		if s, ok := f.Snapshot(); ok {
 			all[name] = s
 		}
 	}
@@ -294,7 +294,7 @@
 
 // RestoreLearned takes over what an earlier process has learned of the engines. The
 // error says what could not be used.
-func (g *Gateway) RestoreLearned(all map[string]place.State) error {
+func (g *Gateway) RestoreLearned(all map[string]place.Snapshot) error {
 	g.engines.mu.Lock()
 	defer g.engines.mu.Unlock()
 	var errs []error
@@ -307,7 +307,7 @@
 // The methods below take in what other entries tell.
 
 // Engine returns the engine with a hash, and its service.
-func (g *Gateway) Engine(hash uint32) (service, id string, ok bool) {
+func (g *Gateway) EngineByHash(hash uint32) (service, id string, ok bool) {
 	g.engines.mu.Lock()
 	defer g.engines.mu.Unlock()
 	name, ok := g.engines.names[hash]
@@ -315,27 +315,27 @@
 }
 
 // RemotePlaced notes a job of another entry.
-func (g *Gateway) RemotePlaced(service string, p place.Placement) {
+func (g *Gateway) RemotePlacement(service string, p place.Placement) {
 	g.engines.mu.Lock()
 	defer g.engines.mu.Unlock()
-	g.engines.fleet(service).Placed(time.Now(), p)
+	g.engines.fleet(service).AddPlacement(time.Now(), p)
 }
 
 // RemoteReadDone notes that another entry's prompt has been read.
-func (g *Gateway) RemoteReadDone(id place.JobID) {
+func (g *Gateway) RemotePrefillDone(id place.JobID) {
 	g.engines.mu.Lock()
 	defer g.engines.mu.Unlock()
 	for _, f := range g.engines.fleets {
-		f.ReadDone(time.Now(), id)
+		f.PrefillDone(time.Now(), id)
 	}
 }
 
 // RemoteEnded notes that another entry's job has ended.
-func (g *Gateway) RemoteEnded(id place.JobID) {
+func (g *Gateway) RemoteFinished(id place.JobID) {
 	g.engines.mu.Lock()
 	defer g.engines.mu.Unlock()
 	for _, f := range g.engines.fleets {
-		f.Ended(time.Now(), id)
+		f.JobFinished(time.Now(), id)
 	}
 }
 
@@ -345,7 +345,7 @@
 }
 
 // EngineAway keeps an engine out, for all entries, while it changes its role.
-func (g *Gateway) EngineAway(service, engine string, d time.Duration) {
+func (g *Gateway) AvoidEngine(service, engine string, d time.Duration) {
 	g.engines.refused(service, engine, d)
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -20,11 +20,11 @@
 type Dialect interface {
 	direct.Codec
 	// Request decodes the head of a caller's request.
-	Request(r *http.Request, received time.Time) (request.Request, error)
+	ParseRequest(r *http.Request, received time.Time) (request.Request, error)
 	// RequestID returns the id of a caller's request, empty if it has none.
 	RequestID(h http.Header) string
 	// Prefilled decodes the answer to a PrefillOnly send.
-	Prefilled(body []byte) (request.Prefilled, error)
+	ParsePrefilled(body []byte) (request.Prefilled, error)
 	// KVSource names KV cache at a backend server.
 	KVSource(address, handle string) string
 	// FreeHandle returns the method and path of the call that frees it.
@@ -47,7 +47,7 @@
 	limits  *limits
 
 	mu    sync.Mutex
-	sends map[string]*retry.Sends
+	sends map[string]*retry.AttemptLimiter
 
 	stopping atomic.Bool
 }
@@ -66,7 +66,7 @@
 // ShareWith tells share what this gateway does at the engines from now on. It is
 // called before the gateway serves. The limits of the services are shared with
 // as many entries as share counts.
-func (g *Gateway) ShareWith(share Share) {
+func (g *Gateway) SetGossip(share Gossip) {
 	g.engines.share = share
 	g.endings.share = share
 	g.limits.share = share
@@ -83,7 +83,7 @@
 		plain:     newPlain(l),
 		endings:   newEndings(),
 		limits:    l,
-		sends:     make(map[string]*retry.Sends),
+		sends:     make(map[string]*retry.AttemptLimiter),
 	}
 	g.transport.OnAnswer = g.limits.answered
 	g.deployment.Store(&c.Deployment)
@@ -92,10 +92,14 @@
 }
 
 // Relayed passes what other gateways have seen of the store to the directory.
-func (g *Gateway) Relayed(now time.Time, c directory.Confirmation) { g.directory.Relayed(now, c) }
+func (g *Gateway) RemoteConfirmation(now time.Time, c directory.Confirmation) {
+	g.directory.Relayed(now, c)
+}
 
 // RelayedEntry does the same for one change of an entry.
-func (g *Gateway) RelayedEntry(now time.Time, c directory.Change) { g.directory.RelayedEntry(now, c) }
+func (g *Gateway) RemoteServerChange(now time.Time, c directory.Change) {
+	g.directory.RelayedEntry(now, c)
+}
 
 // Reload takes changed settings.
 func (g *Gateway) Reload(d deployment.Deployment) { g.deployment.Store(&d) }
@@ -112,7 +116,7 @@
 }
 
 // entries returns how many entries share the limits of the services.
-func (g *Gateway) entries() int { return g.engines.share.Count() }
+func (g *Gateway) entries() int { return g.engines.share.GatewayCount() }
 
 // allowExtra reports whether a service bears one more send beyond the first.
 func (g *Gateway) allowExtra(service string, now time.Time) bool {
@@ -124,14 +128,14 @@
 func (g *Gateway) countRequest(service string, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.sendsOf(service).Request(now)
+	g.sendsOf(service).CountRequest(now)
 }
 
-func (g *Gateway) sendsOf(service string) *retry.Sends {
+func (g *Gateway) sendsOf(service string) *retry.AttemptLimiter {
 	s, ok := g.sends[service]
 	if !ok {
 		b := g.deployment.Load().Bounds
-		s = retry.NewSends(retry.SendLimit{
+		s = retry.NewAttemptLimiter(retry.AttemptLimit{
 			Share:  b.RetryShare * budgetPart,
 			Slack:  b.RetrySlack * budgetPart,
 			Window: b.RetryWindow,
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -253,18 +253,18 @@
 // placements counts what a gateway tells the others.
 type placements struct{ count atomic.Int64 }
 
-func (p *placements) Placed(place.Placement)                { p.count.Add(1) }
-func (p *placements) ReadDone(place.JobID)                  {}
-func (p *placements) Ended(place.JobID)                     {}
-func (p *placements) Avoid(string, string, time.Duration)   {}
-func (p *placements) Count() int                            { return 1 }
-func (p *placements) ServerEnded(quarantine.Evidence)       {}
-func (p *placements) ServerEndedAgain(quarantine.Evidence)  {}
-func (p *placements) ServerLimit(ratelimit.Notice)          {}
-func (p *placements) ServerLimitAgain(ratelimit.Notice)     {}
-func (p *placements) RankFor(string, uint64) ratelimit.Rank { return ratelimit.Rank{Of: 1} }
-func (p *placements) Membership() uint64                    { return 0 }
-func (p *placements) JoinGroup(uint64) place.Group          { return place.Group{} }
+func (p *placements) AnnouncePlacement(place.Placement)           { p.count.Add(1) }
+func (p *placements) AnnouncePrefillDone(place.JobID)             {}
+func (p *placements) AnnounceFinished(place.JobID)                {}
+func (p *placements) AnnounceAvoid(string, string, time.Duration) {}
+func (p *placements) GatewayCount() int                           { return 1 }
+func (p *placements) AnnounceTermination(quarantine.Evidence)     {}
+func (p *placements) ReannounceTermination(quarantine.Evidence)   {}
+func (p *placements) AnnounceServerLimit(ratelimit.Notice)        {}
+func (p *placements) ReannounceServerLimit(ratelimit.Notice)      {}
+func (p *placements) RankFor(string, uint64) ratelimit.Rank       { return ratelimit.Rank{Total: 1} }
+func (p *placements) MembershipVersion() uint64                   { return 0 }
+func (p *placements) JoinGroup(uint64) place.Group                { return place.Group{} }
 
 var _ = Describe("a prompt", func() {
 	var (
@@ -437,7 +437,7 @@
 		w.add("llm", runner.New("i-d", "decode")).SetFault(runner.Shedding)
 		w.add("llm", runner.New("i-e", "decode")).SetFault(runner.Shedding)
 		told := &placements{}
-		w.gateway.ShareWith(told)
+		w.gateway.SetGossip(told)
 		w.ready(3)
 		got := w.ask(http.MethodPost, "/stream-once/1", "r1", prompt...)
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
