--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -79,7 +79,7 @@
 	// identity is the request's fingerprint, 0 before it is needed, and standing what
 	// was last known of servers that ended under it.
 	identity request.Fingerprint
-	standing quarantine.Standing
+	standing quarantine.Status
 	// sentAt is when it was last sent to a server.
 	sentAt time.Time
 
@@ -121,7 +121,7 @@
 		return false
 	}
 	c.route = route
-	req, err := g.dialect.Request(r, c.received)
+	req, err := g.dialect.ParseRequest(r, c.received)
 	if err != nil {
 		c.refuse(http.StatusBadRequest, verdict.New(verdict.NotRun, verdict.CodeBadRequest, err.Error()))
 		return false
@@ -143,12 +143,12 @@
 	if c.view.TableTold > 0 || !c.gateway.directory.StoreLost() {
 		return unknownRetry
 	}
-	req, err := c.gateway.dialect.Request(r, c.received)
+	req, err := c.gateway.dialect.ParseRequest(r, c.received)
 	if err != nil {
 		return unknownRetry
 	}
 	c.request = req
-	return min(max(unknownRetry, place.LatestReturn(c.patience())), longestUnknownRetry)
+	return min(max(unknownRetry, place.MaxRetryAfter(c.patience())), longestUnknownRetry)
 }
 
 // unknownRoute answers a request that no route takes. If the store has not
@@ -297,7 +297,7 @@
 		c.fail(refused)
 		return
 	}
-	if c.standing.Suspect() {
+	if c.standing.Suspected() {
 		c.runSuspect()
 	} else {
 		c.runAnywhere()
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -28,7 +28,7 @@
 
 	mu    sync.Mutex
 	table *ratelimit.Table
-	share Share
+	share Gossip
 	// membership is that by which the gateways were ranked last.
 	membership uint64
 	// invalidAt is when a limit that is not understood was last logged.
@@ -56,18 +56,18 @@
 		l.logInvalid(a)
 		return
 	}
-	if (!a.Limit.Named && l.servers.Load() == 0) || !saysLimit(a) {
+	if (!a.Limit.Limited && l.servers.Load() == 0) || !saysLimit(a) {
 		return
 	}
 	heard := boottime.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := ratelimit.Notice{
-		Server: a.Server.Instance(), Named: a.Limit.Named, PerSecond: a.Limit.PerSecond,
-		Sent: heard - time.Since(a.Sent), Heard: heard, Weak: !a.Sealed,
+		Server: a.Server.Instance(), Limited: a.Limit.Limited, PerSecond: a.Limit.PerSecond,
+		RequestedAt: heard - time.Since(a.Sent), ReceivedAt: heard, Unauthenticated: !a.Sealed,
 	}
 	if l.add(heard, "", n) != ratelimit.Unchanged {
-		l.share.ServerLimit(n)
+		l.share.AnnounceServerLimit(n)
 	}
 }
 
@@ -95,7 +95,7 @@
 	fields := log.Fields{
 		"server": n.Server.ID, "incarnation": n.Server.Incarnation, "change": change.String(),
 		"per_second": n.PerSecond, "per_second_before": before,
-		"age_ms": (now - n.Heard).Milliseconds(), "sent_ms_ago": (now - n.Sent).Milliseconds(),
+		"age_ms": (now - n.ReceivedAt).Milliseconds(), "sent_ms_ago": (now - n.RequestedAt).Milliseconds(),
 	}
 	if from != "" {
 		fields["from"] = from
@@ -111,7 +111,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return !l.table.Knows(server) || l.table.Allows(boottime.Now(), server)
+	return !l.table.Tracks(server) || l.table.Allows(boottime.Now(), server)
 }
 
 // has reports whether a server names a limit.
@@ -132,7 +132,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.table.Knows(server) {
+	if l.table.Tracks(server) {
 		l.table.Take(boottime.Now(), server)
 	}
 }
@@ -142,7 +142,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := boottime.Now()
-	return slices.Min(lo.Map(servers, func(id string, _ int) time.Duration { return l.table.Wait(now, id) }))
+	return slices.Min(lo.Map(servers, func(id string, _ int) time.Duration { return l.table.RetryAfter(now, id) }))
 }
 
 // NamesLimit reports whether a server names a limit of its own.
@@ -172,12 +172,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := boottime.Now()
-	if m := l.share.Membership(); m != l.membership {
+	if m := l.share.MembershipVersion(); m != l.membership {
 		l.membership = m
-		l.table.Rank(now)
+		l.table.UpdateRanks(now)
 	}
-	for _, n := range l.table.ToTell(now, mostRetold) {
-		l.share.ServerLimitAgain(n)
+	for _, n := range l.table.PendingAnnouncements(now, mostRetold) {
+		l.share.ReannounceServerLimit(n)
 	}
 }
 
@@ -194,7 +194,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.table.Forget(boottime.Now(), func(server string) bool {
+	l.table.Prune(boottime.Now(), func(server string) bool {
 		_, ok := v.Servers[server]
 		return ok
 	})
@@ -221,5 +221,5 @@
 	if !ok {
 		return nil
 	}
-	return &LimitDump{PerSecond: perSecond, Part: l.table.Part(boottime.Now(), server)}
+	return &LimitDump{PerSecond: perSecond, Part: l.table.Share(boottime.Now(), server)}
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -21,11 +21,11 @@
 	if c.trace.first > 0 {
 		metrics.GetOrRegisterTimer("gateway.first_byte."+kind, nil).Update(c.trace.first)
 	}
-	if expected := c.trace.plan.Expected(); expected > 0 && c.trace.first > 0 {
+	if expected := c.trace.plan.ExpectedTTFT(); expected > 0 && c.trace.first > 0 {
 		off := c.trace.first - c.trace.placed - expected
 		metrics.GetOrRegisterTimer("gateway.expected_off."+kind, nil).Update(max(off, -off))
 	}
-	if c.standing.Refuse {
+	if c.standing.Quarantined {
 		metrics.GetOrRegisterCounter("gateway.requests_quarantined", nil).Inc(1)
 	}
 	if len(c.limitedBy) > 0 {
--- a/internal/gateway/model.go
+++ b/internal/gateway/model.go
@@ -36,7 +36,7 @@
 	var last *verdict.Error
 	for first := true; first || c.mayRepeat(); first = false {
 		now := time.Now()
-		job.Suspect = c.standing.Suspect()
+		job.Suspect = c.standing.Suspected()
 		job.Prompt.Done = c.request.Prompt.Done + c.trace.events
 		plan, admission, ok := g.engines.place(now, c.service.Name, job, c.urgency(now))
 		if !ok {
@@ -64,18 +64,18 @@
 }
 
 // urgency is what the caller still expects.
-func (c *call) urgency(now time.Time) place.Urgency {
+func (c *call) urgency(now time.Time) place.Constraints {
 	left := c.deadline.Sub(now)
 	if c.started || c.verdict != verdict.NotRun {
 		// To refuse the rest of a stream would waste what was generated, and a
 		// request that may have run can only be failed, not refused.
-		return place.Urgency{Objective: left, Left: left, Committed: true}
+		return place.Constraints{Objective: left, Remaining: left, Committed: true}
 	}
 	if c.request.Prompt.Done > 0 {
 		// The caller has the first event, and waits for the last one.
-		return place.Urgency{Objective: left, Left: left}
+		return place.Constraints{Objective: left, Remaining: left}
 	}
-	return place.Urgency{Objective: c.received.Add(c.route.Objective).Sub(now), Left: left}
+	return place.Constraints{Objective: c.received.Add(c.route.Objective).Sub(now), Remaining: left}
 }
 
 // runPlan runs the request as planned. It returns nil once it has answered.
@@ -84,9 +84,9 @@
 	if plan.Split() {
 		return c.runSplit(plan, job)
 	}
-	decoder, ok := serverByID(c.gateway.directory.View(), plan.Decoder)
+	decoder, ok := serverByID(c.gateway.directory.View(), plan.DecodeEngine)
 	if !ok {
-		return c.lostServer(plan.Decoder)
+		return c.lostServer(plan.DecodeEngine)
 	}
 	return c.generate(decoder, request.Options{Priority: c.priority}, job.ID)
 }
@@ -94,9 +94,9 @@
 // runSplit has one engine read the prompt and another generate the answer.
 func (c *call) runSplit(plan place.Plan, job place.Job) *verdict.Error {
 	g := c.gateway
-	reader, ok := serverByID(g.directory.View(), plan.Reader)
+	reader, ok := serverByID(g.directory.View(), plan.PrefillEngine)
 	if !ok {
-		return c.lostServer(plan.Reader)
+		return c.lostServer(plan.PrefillEngine)
 	}
 	began := time.Now()
 	handle, err := c.prefill(reader)
@@ -106,7 +106,7 @@
 	}
 	g.engines.readDone(c.service.Name, job.ID)
 	options := request.Options{
-		Priority: place.GeneratePriority,
+		Priority: place.DecodePriority,
 		KVSource: g.dialect.KVSource(reader.Address, handle),
 	}
 	failed := c.generateAnywhere(plan, job, options)
@@ -122,11 +122,11 @@
 	g := c.gateway
 	for {
 		var failed *verdict.Error
-		decoder, ok := serverByID(g.directory.View(), plan.Decoder)
+		decoder, ok := serverByID(g.directory.View(), plan.DecodeEngine)
 		if ok {
 			failed = c.generate(decoder, o, job.ID)
 		} else {
-			failed = c.lostServer(plan.Decoder)
+			failed = c.lostServer(plan.DecodeEngine)
 		}
 		if failed == nil || c.verdict != verdict.NotRun || !c.mayRepeat() {
 			return failed
@@ -153,7 +153,7 @@
 	}
 	c.prefills++
 	c.sentAt = time.Now()
-	o := request.Options{Server: reader, Left: c.left(), Stage: request.PrefillOnly, Priority: c.priority}
+	o := request.Options{Server: reader, Remaining: c.left(), Stage: request.PrefillOnly, Priority: c.priority}
 	reply, err := g.transport.Send(c.ctx, &c.request, o)
 	if err != nil {
 		g.engines.avoid(c.service.Name, reader.ID, suspectFor)
@@ -170,7 +170,7 @@
 		g.engines.refused(c.service.Name, reader.ID, refusedFor)
 		return "", c.prefillFailed(reader, http.StatusText(reply.Status))
 	}
-	p, err := g.dialect.Prefilled(body)
+	p, err := g.dialect.ParsePrefilled(body)
 	if err != nil {
 		return "", c.prefillFailed(reader, err.Error())
 	}
@@ -277,7 +277,7 @@
 	g.limits.take(s.ID)
 	method, path := g.dialect.FreeHandle(handle)
 	r := request.Request{ID: handle, Method: method, Target: path, Host: s.Address, Header: http.Header{}}
-	reply, err := g.transport.Send(ctx, &r, request.Options{Server: s, Left: freeTimeout, Priority: request.DefaultPriority})
+	reply, err := g.transport.Send(ctx, &r, request.Options{Server: s, Remaining: freeTimeout, Priority: request.DefaultPriority})
 	if err != nil {
 		log.WithField("server", s.ID).WithField("error", err.Error()).Info("KV cache not freed")
 		return
--- a/internal/gateway/process/learned.go
+++ b/internal/gateway/process/learned.go
@@ -36,7 +36,7 @@
 
 // learned is the object's value.
 type learned struct {
-	Services map[string]place.State `json:"services"`
+	Services map[string]place.Snapshot `json:"services"`
 }
 
 // saver writes what was learned. The write is idempotent, and a lost one is made up
@@ -48,7 +48,7 @@
 }
 
 // save writes services to the store.
-func (s *saver) save(ctx context.Context, services map[string]place.State) error {
+func (s *saver) save(ctx context.Context, services map[string]place.Snapshot) error {
 	value, err := json.Marshal(learned{Services: services})
 	if err != nil {
 		return eris.Wrap(err, "encode")
--- a/internal/gateway/process/learned_test.go
+++ b/internal/gateway/process/learned_test.go
@@ -34,23 +34,23 @@
 		return gateway.New(gateway.Config{Dialect: platform.Dialect{}, Directory: directory.New(client, platform.Dialect{}, platform.Kinds)})
 	}
 	// learned is what a fleet has learned from a hundred answers.
-	learned := func() map[string]place.State {
+	learned := func() map[string]place.Snapshot {
 		f := place.NewFleet()
 		f.SetEngines([]place.Engine{{ID: "e", Role: backend.Decode, KVTokens: 1_000_000, Incarnation: 7}})
 		now := time.Unix(1_000_000_000, 0)
 		for n := range 100 {
 			id := place.JobID(n)
-			f.Placed(now, place.Placement{ID: id, Prompt: request.Prompt{Tokens: 1_000}, Plan: place.Plan{Reader: "e", Decoder: "e"}, Left: time.Minute})
+			f.AddPlacement(now, place.Placement{ID: id, Prompt: request.Prompt{Tokens: 1_000}, Plan: place.Plan{PrefillEngine: "e", DecodeEngine: "e"}, Remaining: time.Minute})
 			now = now.Add(50 * time.Millisecond)
-			f.Event(now, id, 50*time.Millisecond)
-			f.Answered(100, 100)
-			f.Ended(now, id)
+			f.ObserveInterEventTime(now, id, 50*time.Millisecond)
+			f.ObserveAnswerLength(100, 100)
+			f.JobFinished(now, id)
 		}
-		s, ok := f.State()
+		s, ok := f.Snapshot()
 		Expect(ok).To(BeTrue())
-		return map[string]place.State{"llm": s}
+		return map[string]place.Snapshot{"llm": s}
 	}
-	save := func(s *saver, services map[string]place.State) error {
+	save := func(s *saver, services map[string]place.Snapshot) error {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
 		return s.save(ctx, services)
@@ -69,7 +69,7 @@
 	It("is saved again by whichever gateway does it", func() {
 		first, second := &saver{store: client}, &saver{store: client}
 		Expect(save(first, learned())).To(Succeed())
-		Expect(save(second, map[string]place.State{"llm": {}})).To(Succeed())
+		Expect(save(second, map[string]place.Snapshot{"llm": {}})).To(Succeed())
 		Expect(save(first, learned())).To(MatchError(store.ErrConflict))
 		Expect(save(first, learned())).To(Succeed())
 	})
--- a/internal/gateway/process/neighbours.go
+++ b/internal/gateway/process/neighbours.go
@@ -76,7 +76,7 @@
 				continue
 			}
 			p.directory.Adopt(time.Now(), k.Snapshot)
-			p.peers.Set(k.Gateways)
+			p.peers.SetPeers(k.Gateways)
 			break
 		}
 	}
--- a/internal/gateway/process/process.go
+++ b/internal/gateway/process/process.go
@@ -62,17 +62,17 @@
 	dir.OnChange = g.ViewChanged
 	others, err := peers.New(peers.Config{
 		Name:    d.Name,
-		Start:   rand.Uint64(),
+		StartID: rand.Uint64(),
 		Address: net.JoinHostPort(d.IP, strconv.Itoa(d.PeerPort)),
 	}, g)
 	if err != nil {
 		return err
 	}
-	g.ShareWith(others)
-	dir.Watcher = others.Watcher
+	g.SetGossip(others)
+	dir.Watcher = others.IsWatcher
 	dir.OnEntry = func(c directory.Change) {
-		if others.Watcher() {
-			others.Entry(c)
+		if others.IsWatcher() {
+			others.AnnounceServerChange(c)
 		}
 	}
 	p := &parts{config: c, gateway: g, directory: dir, peers: others, store: storeClient}
@@ -127,11 +127,11 @@
 // confirm tells the other gateways what this one's watches have confirmed.
 func (p *parts) confirm(ctx context.Context) error {
 	return periodic.Run(ctx, confirmEvery, func(now time.Time) {
-		if !p.peers.Watcher() {
+		if !p.peers.IsWatcher() {
 			return
 		}
 		if c, ok := p.directory.Confirmation(now); ok {
-			p.peers.Confirm(c)
+			p.peers.AnnounceConfirmation(c)
 		}
 	})
 }
@@ -186,7 +186,7 @@
 			log.WithField("engine", s.ID).WithField("error", err.Error()).Info("what an engine keeps is not known")
 			continue
 		}
-		p.gateway.EngineKeeps(s.Service, s.ID, kept)
+		p.gateway.AddCachedSegments(s.Service, s.ID, kept)
 		log.WithField("engine", s.ID).WithField("parts", len(kept)).Info("what an engine keeps is known")
 	}
 }
@@ -211,16 +211,16 @@
 func (p *parts) reconciler() *reconcile.Reconciler {
 	d := p.config.Deployment
 	return reconcile.New(reconcile.Config{
-		Holder:   d.Name,
-		View:     p.directory.View,
-		Rank:     p.peers.Rank,
-		Busy:     p.gateway.EngineWork,
-		Pace:     p.gateway.EnginePace,
-		Limited:  p.gateway.NamesLimit,
-		Misses:   p.gateway.EngineMisses,
-		Requests: p.gateway.EngineRequests,
-		Away:     p.gateway.EngineAway,
-		Engines:  platform.NewEngines(),
+		Holder:             d.Name,
+		View:               p.directory.View,
+		Rank:               p.peers.Rank,
+		InFlight:           p.gateway.EngineInFlight,
+		Speed:              p.gateway.EngineSpeed,
+		Limited:            p.gateway.NamesLimit,
+		ExpectedMissRate:   p.gateway.ExpectedMissRate,
+		PlacedRequests:     p.gateway.EnginePlacements,
+		RoleChangeStarting: p.gateway.AvoidEngine,
+		Engines:            platform.NewEngines(),
 		Lease: lease.New(p.store, lease.Config{
 			Name:        "orders",
 			Holder:      d.Name,
--- a/internal/gateway/respond.go
+++ b/internal/gateway/respond.go
@@ -169,11 +169,11 @@
 	}
 	if c.route.Model {
 		p := c.trace.plan
-		fields["reader"], fields["kept"], fields["tokens"] = p.Reader, p.Kept, c.request.Prompt.Tokens
-		fields["expected_ms"], fields["wait_ms"], fields["read_ms"] = p.Expected().Milliseconds(), p.Wait.Milliseconds(), p.Read.Milliseconds()
-		fields["lag_ms"] = p.Lag.Milliseconds()
-		fields["length"], fields["answer_cost_ms"] = c.request.Prompt.Output, p.Answer.Milliseconds()
-		fields["prefill_ms"], fields["learned"] = c.trace.prefill.Milliseconds(), p.Learned
+		fields["reader"], fields["kept"], fields["tokens"] = p.PrefillEngine, p.CachedTokens, c.request.Prompt.Tokens
+		fields["expected_ms"], fields["wait_ms"], fields["read_ms"] = p.ExpectedTTFT().Milliseconds(), p.QueueDelay.Milliseconds(), p.PrefillTime.Milliseconds()
+		fields["lag_ms"] = p.PrefillLag.Milliseconds()
+		fields["length"], fields["answer_cost_ms"] = c.request.Prompt.Output, p.AnswerCost.Milliseconds()
+		fields["prefill_ms"], fields["learned"] = c.trace.prefill.Milliseconds(), p.Calibrated
 		fields["patience_ms"], fields["events"] = c.deadline.Sub(c.received).Milliseconds(), c.trace.events
 		if c.trace.bySize {
 			fields["admitted_by_size"] = true
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -49,7 +49,7 @@
 }
 
 // Left returns how long the grant is still valid.
-func (g Grant) Left() time.Duration { return g.until - g.clock() }
+func (g Grant) Remaining() time.Duration { return g.until - g.clock() }
 
 // Lease is one process's view of a lease. Its methods are for one goroutine.
 type Lease struct {
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -62,12 +62,12 @@
 		a := w.lease("a", "1")
 		first, err := a.Acquire(ctx)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(first.Left()).To(Equal(valid))
+		Expect(first.Remaining()).To(Equal(valid))
 		w.now += time.Second
 		second, err := a.Acquire(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(second.Fence).To(BeNumerically(">", first.Fence))
-		Expect(first.Left()).To(Equal(valid - time.Second))
+		Expect(first.Remaining()).To(Equal(valid - time.Second))
 	})
 
 	// The holder is suspended, or cut off, in the middle of its orders. The next
@@ -82,7 +82,7 @@
 			Expect(err).To(MatchError(lease.ErrHeld))
 			w.now += 500 * time.Millisecond
 		}
-		Expect(grant.Left()).To(BeNumerically("<=", -gap))
+		Expect(grant.Remaining()).To(BeNumerically("<=", -gap))
 		next, err := b.Acquire(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(next.Fence).To(BeNumerically(">", grant.Fence))
@@ -105,7 +105,7 @@
 		w.back.SetFaults(objectstore.Faults{LoseReplies: true})
 		grant, err := w.lease("a", "1").Acquire(ctx)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(grant.Left()).To(Equal(valid))
+		Expect(grant.Remaining()).To(Equal(valid))
 	})
 
 	It("is not granted while the store refuses", func() {
--- a/internal/orders/event.go
+++ b/internal/orders/event.go
@@ -11,7 +11,7 @@
 type Event interface{ isEvent() }
 
 // RowSeen brings the engine's row of the plan with the highest version held.
-type RowSeen struct{ Row plan.Engine }
+type RowReceived struct{ Row plan.Engine }
 
 // StateRead answers a ReadState. Asked is when the engine was asked.
 type StateRead struct {
@@ -28,10 +28,10 @@
 }
 
 // WorkRunning tells how many requests the engine runs or may still run.
-type WorkRunning struct{ Count int }
+type RunningRequests struct{ Count int }
 
 // EngineBroke tells that a generation broke off: the engine may have crashed.
-type EngineBroke struct{}
+type EngineMayHaveCrashed struct{}
 
 // DrainTimeoutSet changes how long running requests may go on before HandOver.
 type DrainTimeoutSet struct{ Timeout time.Duration }
@@ -39,19 +39,19 @@
 // Tick lets time pass.
 type Tick struct{}
 
-func (RowSeen) isEvent()         {}
-func (StateRead) isEvent()       {}
-func (OrderAnswered) isEvent()   {}
-func (WorkRunning) isEvent()     {}
-func (EngineBroke) isEvent()     {}
-func (DrainTimeoutSet) isEvent() {}
-func (Tick) isEvent()            {}
+func (RowReceived) isEvent()          {}
+func (StateRead) isEvent()            {}
+func (OrderAnswered) isEvent()        {}
+func (RunningRequests) isEvent()      {}
+func (EngineMayHaveCrashed) isEvent() {}
+func (DrainTimeoutSet) isEvent()      {}
+func (Tick) isEvent()                 {}
 
 // Effect is what an Executor wants done.
 type Effect interface{ isEffect() }
 
 // StopAdmitting ends the admission of requests to the engine.
-type StopAdmitting struct{ Why string }
+type StopAdmitting struct{ Reason string }
 
 // Admit opens the admission of requests for what the engine now is.
 type Admit struct{ Applied engine.Order }
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -120,15 +120,15 @@
 // Step takes one event and returns what is to be done, in order.
 func (x *Executor) Step(now time.Time, e Event) []Effect {
 	switch e := e.(type) {
-	case RowSeen:
+	case RowReceived:
 		x.rowSeen(e.Row)
 	case StateRead:
 		x.stateRead(e)
 	case OrderAnswered:
 		x.orderAnswered(now, e)
-	case WorkRunning:
+	case RunningRequests:
 		x.running = e.Count
-	case EngineBroke:
+	case EngineMayHaveCrashed:
 		x.haveState = false
 	case DrainTimeoutSet:
 		x.config.DrainTimeout = e.Timeout
@@ -169,7 +169,7 @@
 	case e.Err == nil:
 	case errors.Is(e.Err, engine.ErrFenced):
 		x.fenced = max(x.fenced, e.Generation)
-	case errors.Is(e.Err, engine.ErrNotSent), errors.Is(e.Err, engine.ErrRefused):
+	case errors.Is(e.Err, engine.ErrNotSent), errors.Is(e.Err, engine.ErrRejected):
 		x.notBefore = now.Add(retryInterval)
 	default:
 		x.orderLost(sent.at)
@@ -262,7 +262,7 @@
 	if before != Serving {
 		return nil
 	}
-	return []Effect{StopAdmitting{Why: why}}
+	return []Effect{StopAdmitting{Reason: why}}
 }
 
 // drain waits for running requests, then sends the order.
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -101,7 +101,7 @@
 		b.admits = false
 	case orders.HandOver:
 		b.running = 0
-		b.do(orders.WorkRunning{})
+		b.do(orders.RunningRequests{})
 	case orders.ReadState:
 		read := orders.StateRead{Asked: b.now, State: b.state}
 		b.reads = append(b.reads, answeredRead{read: read, arrives: b.now.Add(b.readDelay)})
@@ -174,10 +174,10 @@
 // way to an engine that serves row 1.
 func (b *bench) killWithOrderInFlight() {
 	GinkgoHelper()
-	b.do(orders.RowSeen{Row: row(1, engine.RoleMixed)})
+	b.do(orders.RowReceived{Row: row(1, engine.RoleMixed)})
 	b.advanceFor(orderTimeout + startMargin)
 	b.orderDelay = orderTimeout - step
-	b.do(orders.RowSeen{Row: row(2, engine.RoleDecode)})
+	b.do(orders.RowReceived{Row: row(2, engine.RoleDecode)})
 	Expect(b.flights).To(HaveLen(1))
 	b.restart()
 }
@@ -189,19 +189,19 @@
 var _ = Describe("Executor", func() {
 	It("orders only once nothing runs any more", func() {
 		b := newBench(true)
-		b.do(orders.RowSeen{Row: row(1, engine.RoleMixed)})
+		b.do(orders.RowReceived{Row: row(1, engine.RoleMixed)})
 		b.advanceFor(orderTimeout + startMargin)
 		Expect(b.admits).To(BeTrue())
 
 		b.running = 1
-		b.do(orders.WorkRunning{Count: 1})
-		b.do(orders.RowSeen{Row: row(2, engine.RoleDecode)})
+		b.do(orders.RunningRequests{Count: 1})
+		b.do(orders.RowReceived{Row: row(2, engine.RoleDecode)})
 		b.advanceFor(500 * time.Millisecond)
 		Expect(b.admits).To(BeFalse())
 		Expect(b.flights).To(BeEmpty())
 
 		b.running = 0
-		b.do(orders.WorkRunning{})
+		b.do(orders.RunningRequests{})
 		b.advanceFor(2 * time.Second)
 		Expect(b.state.Applied.Role).To(Equal(engine.RoleDecode))
 		Expect(b.admits).To(BeTrue())
@@ -213,14 +213,14 @@
 	// callers of the new model get errors from an engine that looks idle.
 	It("waits out an order of unknown outcome when the engine does not check", func() {
 		b := newBench(false)
-		b.do(orders.RowSeen{Row: row(1, engine.RoleMixed)})
+		b.do(orders.RowReceived{Row: row(1, engine.RoleMixed)})
 		b.advanceFor(orderTimeout)
 
-		b.orderDelay, b.orderAnswer = orderTimeout-step, engine.ErrBroken
-		b.do(orders.RowSeen{Row: row(2, engine.RoleDecode)})
-		b.do(orders.OrderAnswered{Generation: 2, Err: engine.ErrBroken})
+		b.orderDelay, b.orderAnswer = orderTimeout-step, engine.ErrInterrupted
+		b.do(orders.RowReceived{Row: row(2, engine.RoleDecode)})
+		b.do(orders.OrderAnswered{Generation: 2, Err: engine.ErrInterrupted})
 		b.orderDelay, b.orderAnswer = 0, nil
-		b.do(orders.RowSeen{Row: row(3, engine.RolePrefill)})
+		b.do(orders.RowReceived{Row: row(3, engine.RolePrefill)})
 		b.advanceFor(3 * orderTimeout)
 
 		Expect(b.violations).To(BeEmpty())
@@ -246,7 +246,7 @@
 	It("does not take a stale row for the end of its predecessor's order", func() {
 		b := newBench(true)
 		b.killWithOrderInFlight()
-		b.do(orders.RowSeen{Row: row(1, engine.RoleMixed)})
+		b.do(orders.RowReceived{Row: row(1, engine.RoleMixed)})
 		for range (orderTimeout - 2*step) / step {
 			b.advance()
 			Expect(b.admits).To(BeFalse())
@@ -256,8 +256,8 @@
 	// A relay that was cut off keeps sending an old plan.
 	It("ignores a row below one that it has seen", func() {
 		b := newBench(true)
-		b.do(orders.RowSeen{Row: row(5, engine.RoleDecode)})
-		b.do(orders.RowSeen{Row: row(4, engine.RolePrefill)})
+		b.do(orders.RowReceived{Row: row(5, engine.RoleDecode)})
+		b.do(orders.RowReceived{Row: row(4, engine.RolePrefill)})
 		b.advanceFor(3 * orderTimeout)
 		Expect(b.state.Applied.Generation).To(BeEquivalentTo(5))
 	})
@@ -267,13 +267,13 @@
 	// would go to an engine that does not have it.
 	It("orders again after the engine crashed part-way", func() {
 		b := newBench(false)
-		b.do(orders.RowSeen{Row: row(2, engine.RoleDecode)})
+		b.do(orders.RowReceived{Row: row(2, engine.RoleDecode)})
 		b.advanceFor(orderTimeout + startMargin)
 		Expect(b.state.Changing).To(BeTrue())
 
 		b.state = engine.State{Incarnation: "b", Ready: true, Applied: engine.Order{Role: engine.RoleMixed, Model: "draft", Weights: "1"}}
 		b.highest = 0
-		b.do(orders.EngineBroke{})
+		b.do(orders.EngineMayHaveCrashed{})
 		b.advanceFor(4 * orderTimeout)
 		Expect(b.state.Applied.Role).To(Equal(engine.RoleDecode))
 		Expect(b.admits).To(BeTrue())
@@ -288,29 +288,29 @@
 			generation := uint64(1)
 			roles := []engine.Role{engine.RoleMixed, engine.RolePrefill, engine.RoleDecode}
 			last := row(generation, engine.RoleMixed)
-			b.do(orders.RowSeen{Row: last})
+			b.do(orders.RowReceived{Row: last})
 			t.Repeat(map[string]func(*rapid.T){
 				"advance": func(t *rapid.T) { b.advanceFor(step * time.Duration(rapid.IntRange(1, 60).Draw(t, "steps"))) },
 				"row": func(t *rapid.T) {
 					generation++
 					last = row(generation, rapid.SampledFrom(roles).Draw(t, "role"))
-					b.do(orders.RowSeen{Row: last})
+					b.do(orders.RowReceived{Row: last})
 				},
-				"stale row": func(*rapid.T) { b.do(orders.RowSeen{Row: row(1, engine.RoleMixed)}) },
+				"stale row": func(*rapid.T) { b.do(orders.RowReceived{Row: row(1, engine.RoleMixed)}) },
 				"work": func(t *rapid.T) {
 					if b.admits {
 						b.running = rapid.IntRange(0, 2).Draw(t, "running")
-						b.do(orders.WorkRunning{Count: b.running})
+						b.do(orders.RunningRequests{Count: b.running})
 					}
 				},
 				"finish": func(*rapid.T) {
 					b.running = 0
-					b.do(orders.WorkRunning{})
+					b.do(orders.RunningRequests{})
 				},
 				"fate": func(t *rapid.T) {
 					b.readDelay = rapid.SampledFrom([]time.Duration{0, 4 * step}).Draw(t, "read delay")
 					b.orderDelay = rapid.SampledFrom([]time.Duration{0, step, orderTimeout - step}).Draw(t, "delay")
-					b.orderAnswer = rapid.SampledFrom([]error{nil, engine.ErrBroken}).Draw(t, "answer")
+					b.orderAnswer = rapid.SampledFrom([]error{nil, engine.ErrInterrupted}).Draw(t, "answer")
 				},
 				"": func(t *rapid.T) {
 					if len(b.violations) > 0 {
@@ -319,7 +319,7 @@
 				},
 			})
 			b.orderDelay, b.orderAnswer, b.readDelay, b.running = 0, nil, 0, 0
-			b.do(orders.WorkRunning{})
+			b.do(orders.RunningRequests{})
 			b.advanceFor(6 * orderTimeout)
 			if b.state.Applied.Role != last.Role || !b.admits {
 				t.Fatalf("row %+v, engine %+v, admits %v", last, b.state, b.admits)
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -55,17 +55,17 @@
 // Receiver takes in what other gateways tell.
 type Receiver interface {
 	// Engine returns the engine with a hash, and its service.
-	Engine(hash uint32) (service, id string, ok bool)
-	RemotePlaced(service string, p place.Placement)
-	RemoteReadDone(id place.JobID)
-	RemoteEnded(id place.JobID)
+	EngineByHash(hash uint32) (service, id string, ok bool)
+	RemotePlacement(service string, p place.Placement)
+	RemotePrefillDone(id place.JobID)
+	RemoteFinished(id place.JobID)
 	RemoteAvoid(service, engine string, d time.Duration)
-	RemoteServerEnded(e quarantine.Evidence)
+	RemoteTermination(e quarantine.Evidence)
 	// RemoteServerLimit takes in what a server said of its limit to the gateway whose
 	// start from names.
 	RemoteServerLimit(from string, n ratelimit.Notice)
-	Relayed(now time.Time, c directory.Confirmation)
-	RelayedEntry(now time.Time, c directory.Change)
+	RemoteConfirmation(now time.Time, c directory.Confirmation)
+	RemoteServerChange(now time.Time, c directory.Change)
 }
 
 // Peers speaks with the other gateways.
@@ -97,7 +97,7 @@
 	// Name is this VM's.
 	Name string
 	// Start is random per start of the process.
-	Start uint64
+	StartID uint64
 	// Address is the IP:PORT for datagrams.
 	Address string
 }
@@ -114,7 +114,7 @@
 	}
 	p := &Peers{
 		name:     c.Name,
-		start:    c.Start,
+		start:    c.StartID,
 		conn:     conn,
 		receiver: r,
 		delays:   newDelays(),
@@ -128,7 +128,7 @@
 }
 
 // Count returns how many gateways are known, this one included.
-func (p *Peers) Count() int {
+func (p *Peers) GatewayCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.others) + 1
@@ -159,7 +159,7 @@
 const watchers = 3
 
 // Watcher reports whether this gateway is one of those that watch.
-func (p *Peers) Watcher() bool { return p.Rank() < watchers }
+func (p *Peers) IsWatcher() bool { return p.Rank() < watchers }
 
 // Addresses returns where all known gateways take datagrams, by VM, this one
 // included.
@@ -174,7 +174,7 @@
 }
 
 // Set replaces the addresses of the other gateways, by VM.
-func (p *Peers) Set(others map[string]netip.AddrPort) {
+func (p *Peers) SetPeers(others map[string]netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(others, p.name)
@@ -191,20 +191,20 @@
 }
 
 // Placed implements gateway.Share.
-func (p *Peers) Placed(placed place.Placement) {
+func (p *Peers) AnnouncePlacement(placed place.Placement) {
 	m := &wire.Placed{
 		Job:    uint32(placed.ID),
-		Reader: place.EngineHash(placed.Plan.Reader),
-		Kept:   uint32(max(0, placed.Plan.Kept)),
-		LeftMs: uint32(max(0, placed.Left.Milliseconds())),
+		Reader: place.EngineHash(placed.Plan.PrefillEngine),
+		Kept:   uint32(max(0, placed.Plan.CachedTokens)),
+		LeftMs: uint32(max(0, placed.Remaining.Milliseconds())),
 		Length: uint32(max(0, placed.Prompt.Output)),
 		Done:   uint32(max(0, placed.Prompt.Done)),
 	}
 	if placed.Plan.Split() {
-		m.Decoder = place.EngineHash(placed.Plan.Decoder)
+		m.Decoder = place.EngineHash(placed.Plan.DecodeEngine)
 	}
 	sum := 0
-	for _, part := range placed.Prompt.Parts {
+	for _, part := range placed.Prompt.Segments {
 		m.PartIds = append(m.PartIds, part.ID)
 		m.PartTokens = append(m.PartTokens, uint32(part.Tokens))
 		sum += part.Tokens
@@ -219,32 +219,32 @@
 const jobSize = 4
 
 // ReadDone implements gateway.Share.
-func (p *Peers) ReadDone(id place.JobID) {
+func (p *Peers) AnnouncePrefillDone(id place.JobID) {
 	p.tell(group, flushAfter, jobSize, func(s *wire.Share) { s.ReadDone = append(s.ReadDone, uint32(id)) })
 }
 
 // Ended implements gateway.Share.
-func (p *Peers) Ended(id place.JobID) {
+func (p *Peers) AnnounceFinished(id place.JobID) {
 	p.tell(group, endedAfter, jobSize, func(s *wire.Share) { s.Ended = append(s.Ended, uint32(id)) })
 }
 
 // Avoid implements gateway.Share.
-func (p *Peers) Avoid(service, engine string, d time.Duration) {
+func (p *Peers) AnnounceAvoid(service, engine string, d time.Duration) {
 	m := &wire.Avoid{Service: service, Engine: engine, ForMs: uint32(d.Milliseconds())}
 	p.tell(everyone, flushAfter, proto.Size(m), func(s *wire.Share) { s.Avoid = append(s.Avoid, m) })
 }
 
 // ServerEnded implements gateway.Share.
-func (p *Peers) ServerEnded(e quarantine.Evidence) { p.tellServerEnded(everyone, e) }
+func (p *Peers) AnnounceTermination(e quarantine.Evidence) { p.tellServerEnded(everyone, e) }
 
 // ServerEndedAgain implements gateway.Share. Each of those that are told tells others,
 // so that all know it after a few rounds.
-func (p *Peers) ServerEndedAgain(e quarantine.Evidence) { p.tellServerEnded(some, e) }
+func (p *Peers) ReannounceTermination(e quarantine.Evidence) { p.tellServerEnded(some, e) }
 
 func (p *Peers) tellServerEnded(to audience, e quarantine.Evidence) {
 	m := &wire.ServerEnded{
 		Request: uint64(e.Request), Server: e.Instance.ID, Incarnation: e.Instance.Incarnation,
-		AgeMs: uint32(max(0, time.Since(e.At).Milliseconds())), RanMs: uint32(max(0, e.At.Sub(e.Began).Milliseconds())),
+		AgeMs: uint32(max(0, time.Since(e.ObservedAt).Milliseconds())), RanMs: uint32(max(0, e.ObservedAt.Sub(e.SentAt).Milliseconds())),
 	}
 	p.tell(to, flushAfter, proto.Size(m), func(s *wire.Share) { s.ServersEnded = append(s.ServersEnded, m) })
 }
@@ -253,10 +253,10 @@
 func serverEnded(now time.Time, m *wire.ServerEnded) quarantine.Evidence {
 	at := now.Add(-time.Duration(m.AgeMs) * time.Millisecond)
 	return quarantine.Evidence{
-		Request:  request.Fingerprint(m.Request),
-		Instance: backend.Instance{ID: m.Server, Incarnation: m.Incarnation},
-		Began:    at.Add(-time.Duration(m.RanMs) * time.Millisecond),
-		At:       at,
+		Request:    request.Fingerprint(m.Request),
+		Instance:   backend.Instance{ID: m.Server, Incarnation: m.Incarnation},
+		SentAt:     at.Add(-time.Duration(m.RanMs) * time.Millisecond),
+		ObservedAt: at,
 	}
 }
 
@@ -277,23 +277,23 @@
 }
 
 // Membership implements gateway.Share.
-func (p *Peers) Membership() uint64 {
+func (p *Peers) MembershipVersion() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.membership
 }
 
 // ServerLimit implements gateway.Share.
-func (p *Peers) ServerLimit(n ratelimit.Notice) { p.tellServerLimit(everyone, n) }
+func (p *Peers) AnnounceServerLimit(n ratelimit.Notice) { p.tellServerLimit(everyone, n) }
 
 // ServerLimitAgain implements gateway.Share.
-func (p *Peers) ServerLimitAgain(n ratelimit.Notice) { p.tellServerLimit(some, n) }
+func (p *Peers) ReannounceServerLimit(n ratelimit.Notice) { p.tellServerLimit(some, n) }
 
 func (p *Peers) tellServerLimit(to audience, n ratelimit.Notice) {
 	m := &wire.ServerLimit{
-		Server: n.Server.ID, Incarnation: n.Server.Incarnation, Named: n.Named, PerSecond: n.PerSecond, Weak: n.Weak,
-		HeardAgeMs: uint32(max(0, (boottime.Now() - n.Heard).Milliseconds())),
-		AnswerMs:   uint32(max(0, (n.Heard - n.Sent).Milliseconds())),
+		Server: n.Server.ID, Incarnation: n.Server.Incarnation, Named: n.Limited, PerSecond: n.PerSecond, Weak: n.Unauthenticated,
+		HeardAgeMs: uint32(max(0, (boottime.Now() - n.ReceivedAt).Milliseconds())),
+		AnswerMs:   uint32(max(0, (n.ReceivedAt - n.RequestedAt).Milliseconds())),
 	}
 	p.tell(to, flushAfter, proto.Size(m), func(s *wire.Share) { s.ServerLimits = append(s.ServerLimits, m) })
 }
@@ -303,14 +303,14 @@
 func serverLimit(now, delay time.Duration, m *wire.ServerLimit) ratelimit.Notice {
 	heard := now - delay - time.Duration(m.HeardAgeMs)*time.Millisecond
 	return ratelimit.Notice{
-		Server: backend.Instance{ID: m.Server, Incarnation: m.Incarnation},
-		Named:  m.Named, PerSecond: m.PerSecond, Weak: m.Weak,
-		Sent: heard - time.Duration(m.AnswerMs)*time.Millisecond, Heard: heard,
+		Server:  backend.Instance{ID: m.Server, Incarnation: m.Incarnation},
+		Limited: m.Named, PerSecond: m.PerSecond, Unauthenticated: m.Weak,
+		RequestedAt: heard - time.Duration(m.AnswerMs)*time.Millisecond, ReceivedAt: heard,
 	}
 }
 
 // Confirm tells what the store has confirmed to this gateway.
-func (p *Peers) Confirm(c directory.Confirmation) {
+func (p *Peers) AnnounceConfirmation(c directory.Confirmation) {
 	m := &wire.Confirmation{
 		ConfigRevision:  c.ConfigRevision,
 		ServersRevision: c.ServersRevision,
@@ -323,7 +323,7 @@
 
 // Entry tells a change of a backend server's entry. One that does not fit a
 // datagram is left out: the others list when they hear of its revision.
-func (p *Peers) Entry(c directory.Change) {
+func (p *Peers) AnnounceServerChange(c directory.Change) {
 	m := &wire.Entry{
 		Name: c.Object.Name, Revision: c.Object.Revision, Spec: c.Object.Spec, Removed: c.Removed, After: c.After,
 	}
@@ -354,22 +354,22 @@
 // takePlaced takes in a placement of another gateway. One at engines that are not
 // known here is dropped.
 func (p *Peers) takePlaced(m *wire.Placed) {
-	service, reader, ok := p.receiver.Engine(m.Reader)
+	service, reader, ok := p.receiver.EngineByHash(m.Reader)
 	if !ok {
 		p.dropped.Inc(1)
 		return
 	}
 	decoder := reader
 	if m.Decoder != 0 {
-		_, decoder, _ = p.receiver.Engine(m.Decoder)
+		_, decoder, _ = p.receiver.EngineByHash(m.Decoder)
 	}
 	placed := place.Placement{
-		ID:     place.JobID(m.Job),
-		Plan:   place.Plan{Reader: reader, Decoder: decoder, Kept: int(m.Kept)},
-		Left:   time.Duration(m.LeftMs) * time.Millisecond,
-		Prompt: prompt(m),
+		ID:        place.JobID(m.Job),
+		Plan:      place.Plan{PrefillEngine: reader, DecodeEngine: decoder, CachedTokens: int(m.Kept)},
+		Remaining: time.Duration(m.LeftMs) * time.Millisecond,
+		Prompt:    prompt(m),
 	}
-	p.receiver.RemotePlaced(service, placed)
+	p.receiver.RemotePlacement(service, placed)
 }
 
 // prompt decodes the prompt of a placement.
@@ -378,7 +378,7 @@
 	sum := 0
 	for i := range min(len(m.PartIds), len(m.PartTokens)) {
 		tokens := int(m.PartTokens[i])
-		decoded.Parts = append(decoded.Parts, request.Part{ID: m.PartIds[i], Tokens: tokens})
+		decoded.Segments = append(decoded.Segments, request.Segment{ID: m.PartIds[i], Tokens: tokens})
 		sum += tokens
 	}
 	if decoded.Tokens == 0 {
@@ -409,7 +409,7 @@
 	p.takeReads(s, delay)
 	now := time.Now()
 	for _, m := range s.Entries {
-		p.receiver.RelayedEntry(now, directory.Change{
+		p.receiver.RemoteServerChange(now, directory.Change{
 			Event: store.Event{
 				Object: store.Object{Name: m.Name, Revision: m.Revision, Spec: m.Spec}, Removed: m.Removed,
 			},
@@ -417,13 +417,13 @@
 		})
 	}
 	if c := s.Confirmation; c != nil {
-		p.receiver.Relayed(now, p.confirmation(c))
+		p.receiver.RemoteConfirmation(now, p.confirmation(c))
 	}
 	for _, m := range s.Avoid {
 		p.receiver.RemoteAvoid(m.Service, m.Engine, time.Duration(m.ForMs)*time.Millisecond)
 	}
 	for _, m := range s.ServersEnded {
-		p.receiver.RemoteServerEnded(serverEnded(now, m))
+		p.receiver.RemoteTermination(serverEnded(now, m))
 	}
 	for _, m := range s.ServerLimits {
 		if math.IsNaN(m.PerSecond) || math.IsInf(m.PerSecond, 0) || m.PerSecond < 0 {
@@ -449,13 +449,13 @@
 	}
 	for _, id := range s.ReadDone {
 		if late {
-			p.receiver.RemoteEnded(place.JobID(id))
+			p.receiver.RemoteFinished(place.JobID(id))
 			continue
 		}
-		p.receiver.RemoteReadDone(place.JobID(id))
+		p.receiver.RemotePrefillDone(place.JobID(id))
 	}
 	for _, id := range s.Ended {
-		p.receiver.RemoteEnded(place.JobID(id))
+		p.receiver.RemoteFinished(place.JobID(id))
 	}
 	if late {
 		p.late.Inc(1)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -57,7 +57,7 @@
 	for n := range count {
 		name := "f-" + strconv.Itoa(n)
 		told[name] = newHeard()
-		p, err := peers.New(peers.Config{Name: name, Start: rand.Uint64(), Address: "127.0.0.1:0"}, told[name])
+		p, err := peers.New(peers.Config{Name: name, StartID: rand.Uint64(), Address: "127.0.0.1:0"}, told[name])
 		Expect(err).NotTo(HaveOccurred())
 		ctx, stop := context.WithCancel(context.Background())
 		DeferCleanup(stop)
@@ -78,7 +78,7 @@
 	return &heard{placed: map[place.JobID]place.Placement{}, read: map[place.JobID]bool{}, ended: map[place.JobID]bool{}}
 }
 
-func (h *heard) Engine(hash uint32) (service, id string, ok bool) {
+func (h *heard) EngineByHash(hash uint32) (service, id string, ok bool) {
 	for _, id := range []string{"i-p", "i-d"} {
 		if place.EngineHash(id) == hash {
 			return "llm", id, true
@@ -87,20 +87,20 @@
 	return "", "", false
 }
 
-func (h *heard) RemotePlaced(_ string, p place.Placement) {
+func (h *heard) RemotePlacement(_ string, p place.Placement) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.placed[p.ID] = p
-	h.parts += len(p.Prompt.Parts)
+	h.parts += len(p.Prompt.Segments)
 }
 
-func (h *heard) RemoteReadDone(id place.JobID) {
+func (h *heard) RemotePrefillDone(id place.JobID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.read[id] = true
 }
 
-func (h *heard) RemoteEnded(id place.JobID) {
+func (h *heard) RemoteFinished(id place.JobID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.ended[id] = true
@@ -115,7 +115,7 @@
 	h.avoids++
 }
 
-func (h *heard) RemoteServerEnded(e quarantine.Evidence) {
+func (h *heard) RemoteTermination(e quarantine.Evidence) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.evidence = append(h.evidence, e)
@@ -127,8 +127,8 @@
 	h.limits = append(h.limits, n)
 }
 
-func (h *heard) Relayed(time.Time, directory.Confirmation) {}
-func (h *heard) RelayedEntry(time.Time, directory.Change)  {}
+func (h *heard) RemoteConfirmation(time.Time, directory.Confirmation) {}
+func (h *heard) RemoteServerChange(time.Time, directory.Change)       {}
 
 func (h *heard) jobs() (placed, read, ended int) {
 	h.mu.Lock()
@@ -137,7 +137,7 @@
 }
 
 func start(name string, client *platform.Store, r peers.Receiver) *peers.Peers {
-	p, err := peers.New(peers.Config{Name: name, Start: rand.Uint64(), Address: "127.0.0.1:0"}, r)
+	p, err := peers.New(peers.Config{Name: name, StartID: rand.Uint64(), Address: "127.0.0.1:0"}, r)
 	Expect(err).NotTo(HaveOccurred())
 	ctx, stop := context.WithCancel(context.Background())
 	DeferCleanup(stop)
@@ -154,19 +154,19 @@
 		told := newHeard()
 		a := start("f-1", client, newHeard())
 		b := start("f-2", client, told)
-		Eventually(a.Count).WithTimeout(5 * time.Second).Should(Equal(2))
-		Eventually(b.Count).WithTimeout(5 * time.Second).Should(Equal(2))
+		Eventually(a.GatewayCount).WithTimeout(5 * time.Second).Should(Equal(2))
+		Eventually(b.GatewayCount).WithTimeout(5 * time.Second).Should(Equal(2))
 
-		placed := place.Placement{Left: 5 * time.Second}
+		placed := place.Placement{Remaining: 5 * time.Second}
 		placed.Prompt.Output, placed.Prompt.Done = 300, 20
-		placed.Prompt.Parts = []request.Part{{ID: 1, Tokens: 100}, {ID: 2, Tokens: 50}}
+		placed.Prompt.Segments = []request.Segment{{ID: 1, Tokens: 100}, {ID: 2, Tokens: 50}}
 		placed.Prompt.Tokens = 150
-		placed.Plan = place.Plan{Reader: "i-p", Decoder: "i-d", Kept: 100}
+		placed.Plan = place.Plan{PrefillEngine: "i-p", DecodeEngine: "i-d", CachedTokens: 100}
 		for id := range place.JobID(100) {
 			placed.ID = id
-			a.Placed(placed)
-			a.ReadDone(id)
-			a.Ended(id)
+			a.AnnouncePlacement(placed)
+			a.AnnouncePrefillDone(id)
+			a.AnnounceFinished(id)
 		}
 		Eventually(func() int { placed, _, _ := told.jobs(); return placed }).Should(Equal(100))
 		Eventually(func() int { _, _, ended := told.jobs(); return ended }).Should(Equal(100))
@@ -182,18 +182,18 @@
 		listener, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(listener.Close)
-		p, err := peers.New(peers.Config{Name: "f-1", Start: rand.Uint64(), Address: "127.0.0.1:0"}, newHeard())
+		p, err := peers.New(peers.Config{Name: "f-1", StartID: rand.Uint64(), Address: "127.0.0.1:0"}, newHeard())
 		Expect(err).NotTo(HaveOccurred())
-		p.Set(map[string]netip.AddrPort{"f-2": listener.LocalAddr().(*net.UDPAddr).AddrPort()})
+		p.SetPeers(map[string]netip.AddrPort{"f-2": listener.LocalAddr().(*net.UDPAddr).AddrPort()})
 
-		placed := place.Placement{ID: 1 << 60, Left: 2 * time.Second}
+		placed := place.Placement{ID: 1 << 60, Remaining: 2 * time.Second}
 		placed.Prompt.Output = 90
-		placed.Prompt.Parts = []request.Part{{ID: 0x5c1e07a2, Tokens: 2_520}, {ID: 0x91bd3f06, Tokens: 3_780}, {ID: 0xe4402b7d, Tokens: 2_890}}
+		placed.Prompt.Segments = []request.Segment{{ID: 0x5c1e07a2, Tokens: 2_520}, {ID: 0x91bd3f06, Tokens: 3_780}, {ID: 0xe4402b7d, Tokens: 2_890}}
 		placed.Prompt.Tokens = 9_190
-		placed.Plan = place.Plan{Reader: "i-7f3a91c2aa", Decoder: "i-8f3a91c2aa", Kept: 6_300}
-		p.Placed(placed)
-		p.ReadDone(placed.ID)
-		p.Ended(placed.ID)
+		placed.Plan = place.Plan{PrefillEngine: "i-7f3a91c2aa", DecodeEngine: "i-8f3a91c2aa", CachedTokens: 6_300}
+		p.AnnouncePlacement(placed)
+		p.AnnouncePrefillDone(placed.ID)
+		p.AnnounceFinished(placed.ID)
 
 		const mostBytes = 90
 		buf := make([]byte, 64<<10)
@@ -208,20 +208,20 @@
 	It("learn nothing of reads from datagrams that waited", func() {
 		told := newHeard()
 		told.stands = true
-		r, err := peers.New(peers.Config{Name: "f-2", Start: rand.Uint64(), Address: "127.0.0.1:0"}, told)
+		r, err := peers.New(peers.Config{Name: "f-2", StartID: rand.Uint64(), Address: "127.0.0.1:0"}, told)
 		Expect(err).NotTo(HaveOccurred())
 		ctx, stop := context.WithCancel(context.Background())
 		DeferCleanup(stop)
 		go func() { _ = r.Receive(ctx) }()
-		p, err := peers.New(peers.Config{Name: "f-1", Start: rand.Uint64(), Address: "127.0.0.1:0"}, newHeard())
+		p, err := peers.New(peers.Config{Name: "f-1", StartID: rand.Uint64(), Address: "127.0.0.1:0"}, newHeard())
 		Expect(err).NotTo(HaveOccurred())
-		p.Set(map[string]netip.AddrPort{"f-2": r.Addresses()["f-2"]})
+		p.SetPeers(map[string]netip.AddrPort{"f-2": r.Addresses()["f-2"]})
 		p.JoinGroup(1)
 		read := func(id place.JobID) {
-			p.Placed(place.Placement{ID: id, Plan: place.Plan{Reader: "i-p", Decoder: "i-p"}})
-			p.ReadDone(id)
+			p.AnnouncePlacement(place.Placement{ID: id, Plan: place.Plan{PrefillEngine: "i-p", DecodeEngine: "i-p"}})
+			p.AnnouncePrefillDone(id)
 		}
-		p.Avoid("llm", "i-1", 1500*time.Millisecond)
+		p.AnnounceAvoid("llm", "i-1", 1500*time.Millisecond)
 		time.Sleep(100 * time.Millisecond)
 		read(1)
 		Eventually(told.avoided).WithTimeout(5 * time.Second).Should(Equal(1))
@@ -237,10 +237,10 @@
 	It("tell that servers ended to all at once, and to some again", func() {
 		all, told, addresses := startPeers(7)
 		sender := all[6]
-		sender.Set(maps.Clone(addresses))
+		sender.SetPeers(maps.Clone(addresses))
 		evidence := quarantine.Evidence{
 			Request: 1 << 63, Instance: backend.Instance{ID: "i-9a340f44e5", Incarnation: 1776457240515},
-			Began: time.Now().Add(-1100 * time.Millisecond), At: time.Now().Add(-time.Second),
+			SentAt: time.Now().Add(-1100 * time.Millisecond), ObservedAt: time.Now().Add(-time.Second),
 		}
 		heardBy := func() (gateways, pieces int) {
 			for _, h := range told {
@@ -249,17 +249,17 @@
 					gateways++
 					Expect(h.evidence[0].Request).To(Equal(evidence.Request))
 					Expect(h.evidence[0].Instance).To(Equal(evidence.Instance))
-					Expect(h.evidence[0].At).To(BeTemporally("~", evidence.At, 500*time.Millisecond))
-					Expect(h.evidence[0].At.Sub(h.evidence[0].Began)).To(BeNumerically("~", 100*time.Millisecond, 5*time.Millisecond))
+					Expect(h.evidence[0].ObservedAt).To(BeTemporally("~", evidence.ObservedAt, 500*time.Millisecond))
+					Expect(h.evidence[0].ObservedAt.Sub(h.evidence[0].SentAt)).To(BeNumerically("~", 100*time.Millisecond, 5*time.Millisecond))
 				}
 				pieces += len(h.evidence)
 				h.mu.Unlock()
 			}
 			return gateways, pieces
 		}
-		sender.ServerEnded(evidence)
+		sender.AnnounceTermination(evidence)
 		Eventually(func() int { gateways, _ := heardBy(); return gateways }).Should(Equal(6))
-		sender.ServerEndedAgain(evidence)
+		sender.ReannounceTermination(evidence)
 		Eventually(func() int { _, pieces := heardBy(); return pieces }).Should(Equal(9))
 	})
 
@@ -270,23 +270,23 @@
 		Expect(all[0].RankFor("s", 0)).To(Equal(ratelimit.Rank{}))
 		positions := map[int]bool{}
 		for _, p := range all {
-			p.Set(maps.Clone(addresses))
+			p.SetPeers(maps.Clone(addresses))
 			rank := p.RankFor("s", 0)
-			Expect(rank.Of).To(Equal(7))
+			Expect(rank.Total).To(Equal(7))
 			positions[rank.Position] = true
-			before := p.Membership()
-			p.Set(maps.Clone(addresses))
-			Expect(p.Membership()).To(Equal(before))
+			before := p.MembershipVersion()
+			p.SetPeers(maps.Clone(addresses))
+			Expect(p.MembershipVersion()).To(Equal(before))
 		}
 		Expect(positions).To(HaveLen(7))
 		n := ratelimit.Notice{
-			Server: backend.Instance{ID: "s", Incarnation: 1776457240515}, Named: true, PerSecond: 4.2, Weak: true,
-			Sent: boottime.Now() - 1100*time.Millisecond, Heard: boottime.Now() - time.Second,
+			Server: backend.Instance{ID: "s", Incarnation: 1776457240515}, Limited: true, PerSecond: 4.2, Unauthenticated: true,
+			RequestedAt: boottime.Now() - 1100*time.Millisecond, ReceivedAt: boottime.Now() - time.Second,
 		}
 		bad := n
 		bad.PerSecond = math.NaN()
-		all[6].ServerLimit(bad)
-		all[6].ServerLimit(n)
+		all[6].AnnounceServerLimit(bad)
+		all[6].AnnounceServerLimit(n)
 		for name, h := range told {
 			if name == "f-6" {
 				continue
@@ -298,9 +298,9 @@
 			}
 			Eventually(got).Should(HaveLen(1))
 			notice := got()[0]
-			Expect(notice.Heard).To(BeNumerically("~", n.Heard, 500*time.Millisecond))
-			Expect(notice.Heard - notice.Sent).To(BeNumerically("~", 100*time.Millisecond, 5*time.Millisecond))
-			notice.Heard, notice.Sent = n.Heard, n.Sent
+			Expect(notice.ReceivedAt).To(BeNumerically("~", n.ReceivedAt, 500*time.Millisecond))
+			Expect(notice.ReceivedAt - notice.RequestedAt).To(BeNumerically("~", 100*time.Millisecond, 5*time.Millisecond))
+			notice.ReceivedAt, notice.RequestedAt = n.ReceivedAt, n.RequestedAt
 			Expect(notice).To(Equal(n))
 		}
 	})
@@ -314,7 +314,7 @@
 		gateways := map[string]*peers.Peers{}
 		for _, name := range names {
 			told[name] = newHeard()
-			p, err := peers.New(peers.Config{Name: name, Start: rand.Uint64(), Address: "127.0.0.1:0"}, told[name])
+			p, err := peers.New(peers.Config{Name: name, StartID: rand.Uint64(), Address: "127.0.0.1:0"}, told[name])
 			Expect(err).NotTo(HaveOccurred())
 			ctx, stop := context.WithCancel(context.Background())
 			DeferCleanup(stop)
@@ -323,10 +323,10 @@
 			addresses[name] = p.Addresses()[name]
 		}
 		sender := gateways["f-1"]
-		sender.Set(maps.Clone(addresses))
+		sender.SetPeers(maps.Clone(addresses))
 		own := sender.JoinGroup(2)
-		sender.Placed(place.Placement{ID: 1, Plan: place.Plan{Reader: "i-p", Decoder: "i-p"}})
-		sender.Avoid("llm", "i-1", time.Second)
+		sender.AnnouncePlacement(place.Placement{ID: 1, Plan: place.Plan{PrefillEngine: "i-p", DecodeEngine: "i-p"}})
+		sender.AnnounceAvoid("llm", "i-1", time.Second)
 		members := 0
 		for _, name := range names[1:] {
 			Eventually(told[name].avoided).Should(Equal(1))
--- a/internal/peers/register.go
+++ b/internal/peers/register.go
@@ -97,5 +97,5 @@
 		}
 		others[o.Name] = address
 	}
-	p.Set(others)
+	p.SetPeers(others)
 }
--- a/internal/reconcile/model_test.go
+++ b/internal/reconcile/model_test.go
@@ -143,16 +143,16 @@
 	for n := range 2 {
 		name := "f-" + strconv.Itoa(n)
 		m.gateways = append(m.gateways, reconcile.New(reconcile.Config{
-			Holder:   name,
-			View:     func() *directory.View { return m.seen },
-			Rank:     func() int { return 0 },
-			Busy:     func(string, string) int { return 0 },
-			Pace:     func(string, string) roles.Pace { return roles.Pace{} },
-			Limited:  func(string) bool { return false },
-			Misses:   func(string) (float64, bool) { return 0, false },
-			Requests: func(string) int64 { return 0 },
-			Away:     func(string, string, time.Duration) {},
-			Engines:  modelEngines{model: m, gateway: n},
+			Holder:             name,
+			View:               func() *directory.View { return m.seen },
+			Rank:               func() int { return 0 },
+			InFlight:           func(string, string) int { return 0 },
+			Speed:              func(string, string) roles.Speed { return roles.Speed{} },
+			Limited:            func(string) bool { return false },
+			ExpectedMissRate:   func(string) (float64, bool) { return 0, false },
+			PlacedRequests:     func(string) int64 { return 0 },
+			RoleChangeStarting: func(string, string, time.Duration) {},
+			Engines:            modelEngines{model: m, gateway: n},
 			Lease: lease.New(modelStore{model: m, gateway: n}, lease.Config{
 				Name: "orders", Holder: name, Incarnation: "1", Valid: modelValid, Gap: modelGap,
 				Clock: func() time.Duration { return m.now },
--- a/internal/reconcile/reconcile.go
+++ b/internal/reconcile/reconcile.go
@@ -64,21 +64,21 @@
 	Rank func() int
 	// Busy returns the work at an engine; any work at all means that few changes
 	// are made together.
-	Busy func(service, engine string) int
+	InFlight func(service, engine string) int
 	// Pace returns how slow an engine is.
-	Pace func(service, engine string) roles.Pace
+	Speed func(service, engine string) roles.Speed
 	// Limited reports whether a server takes few requests only: it does not count as one
 	// that serves its role.
 	Limited func(server string) bool
 	// Misses returns the part of a service's answers, by length, that is expected to
 	// miss its deadline; false while that is not known.
-	Misses func(service string) (float64, bool)
+	ExpectedMissRate func(service string) (float64, bool)
 	// Requests returns how many requests of a service all gateways have placed.
-	Requests func(service string) int64
+	PlacedRequests func(service string) int64
 	// Away is told of an engine that is about to change its role.
-	Away    func(service, engine string, d time.Duration)
-	Engines Engines
-	Lease   Leaser
+	RoleChangeStarting func(service, engine string, d time.Duration)
+	Engines            Engines
+	Lease              Leaser
 }
 
 // Reconciler keeps engines in their roles. Its methods are for one goroutine.
@@ -143,33 +143,33 @@
 }
 
 // wanted returns the changes to make now.
-func (r *Reconciler) wanted(view *directory.View, now time.Time) []roles.Move {
+func (r *Reconciler) wanted(view *directory.View, now time.Time) []roles.RoleChange {
 	if view.Table == nil {
 		return nil
 	}
 	maps.DeleteFunc(r.ordered, func(_ string, at time.Time) bool { return now.Sub(at) >= rest })
-	var all []roles.Move
+	var all []roles.RoleChange
 	for name, service := range view.Table.Services {
 		if service.Engine == nil {
 			continue
 		}
 		engines, busy := r.engines(view, name)
 		moves := roles.Decide(engines, roles.DecodeShare(engines, r.answers(view, name)))
-		moves = slices.DeleteFunc(moves, func(m roles.Move) bool { return now.Sub(r.ordered[m.ID]) < rest })
+		moves = slices.DeleteFunc(moves, func(m roles.RoleChange) bool { return now.Sub(r.ordered[m.ID]) < rest })
 		if busy && r.resting(engines, now) {
 			continue
 		}
 		if busy {
-			moves = roles.AtOnce(engines, moves)
+			moves = roles.LimitConcurrent(engines, moves)
 		}
-		all = append(all, roles.Afford(engines, moves, r.config.Requests(name), r.made[name])...)
+		all = append(all, roles.LimitByDemand(engines, moves, r.config.PlacedRequests(name), r.made[name])...)
 	}
 	return all
 }
 
-func (r *Reconciler) answers(view *directory.View, service string) roles.Answers {
-	a := roles.Answers{Longest: view.Table.LongestAnswer(service)}
-	a.Misses, a.Known = r.config.Misses(service)
+func (r *Reconciler) answers(view *directory.View, service string) roles.AnswerStats {
+	a := roles.AnswerStats{MaxEvents: view.Table.MaxAnswerEvents(service)}
+	a.ExpectedMissRate, a.MissRateKnown = r.config.ExpectedMissRate(service)
 	return a
 }
 
@@ -178,9 +178,9 @@
 		if s.Role == backend.NoRole || r.config.Limited(s.ID) {
 			continue
 		}
-		work := r.config.Busy(service, s.ID)
+		work := r.config.InFlight(service, s.ID)
 		busy = busy || work > 0
-		list = append(list, roles.Engine{ID: s.ID, DataCentre: s.DataCentre, Role: s.Role, Work: work, Pace: r.config.Pace(service, s.ID)})
+		list = append(list, roles.Engine{ID: s.ID, DataCentre: s.DataCentre, Role: s.Role, InFlight: work, Speed: r.config.Speed(service, s.ID)})
 	}
 	return list, busy
 }
@@ -196,7 +196,7 @@
 }
 
 // move sends one order. It returns false if the grant allows no more.
-func (r *Reconciler) move(ctx context.Context, now time.Time, view *directory.View, m roles.Move, g lease.Grant) bool {
+func (r *Reconciler) move(ctx context.Context, now time.Time, view *directory.View, m roles.RoleChange, g lease.Grant) bool {
 	server, ok := view.Servers[m.ID]
 	if !ok {
 		return true
@@ -207,13 +207,13 @@
 		log.WithField("engine", m.ID).WithField("error", errorText(err)).Info("no order: the engine is changing, changed or silent")
 		return true
 	}
-	if g.Left() < orderTime {
+	if g.Remaining() < orderTime {
 		log.WithField("engine", m.ID).Info("no order: the lease is about to end")
 		return false
 	}
 	r.ordered[m.ID] = now
 	if service := view.Table.Services[server.Service]; service.Engine != nil {
-		r.config.Away(server.Service, m.ID, service.Engine.SwitchTime+showTime)
+		r.config.RoleChangeStarting(server.Service, m.ID, service.Engine.SwitchTime+showTime)
 	}
 	result, err := r.config.Engines.Order(ctx, server, backend.Order{
 		Role: m.Role, Holder: r.config.Holder, Fence: g.Fence, Expect: state.Orders,
@@ -226,7 +226,7 @@
 	log.WithFields(log.Fields{
 		"engine": m.ID, "role": string(m.Role), "fence": g.Fence, "expect": state.Orders,
 		"result": result.String(), "error": errorText(err),
-		"misses": answers.Misses, "misses_known": answers.Known, "longest_answer": answers.Longest,
+		"misses": answers.ExpectedMissRate, "misses_known": answers.MissRateKnown, "longest_answer": answers.MaxEvents,
 	}).Info("order")
 	return true
 }
--- a/internal/reconcile/reconcile_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -110,12 +110,12 @@
 func (w *world) reconciler(rank int) *reconcile.Reconciler {
 	return reconcile.New(reconcile.Config{
 		Holder: "f-1", View: func() *directory.View { return w.view }, Rank: func() int { return rank },
-		Busy: func(string, string) int { return w.work }, Engines: w, Lease: w,
-		Pace:     func(string, string) roles.Pace { return roles.Pace{} },
-		Limited:  func(server string) bool { return w.limited[server] },
-		Away:     func(string, string, time.Duration) {},
-		Misses:   func(string) (float64, bool) { return w.misses, w.missesKnown },
-		Requests: func(string) int64 { return w.requests },
+		InFlight: func(string, string) int { return w.work }, Engines: w, Lease: w,
+		Speed:              func(string, string) roles.Speed { return roles.Speed{} },
+		Limited:            func(server string) bool { return w.limited[server] },
+		RoleChangeStarting: func(string, string, time.Duration) {},
+		ExpectedMissRate:   func(string) (float64, bool) { return w.misses, w.missesKnown },
+		PlacedRequests:     func(string) int64 { return w.requests },
 	})
 }
 
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -46,11 +46,11 @@
 	Done int
 	// Parts are the prompt's parts in order. The last one belongs to this
 	// request or its session, the others are shared between requests.
-	Parts []Part
+	Segments []Segment
 }
 
 // Part is a run of prompt tokens that has the same ID wherever it occurs.
-type Part struct {
+type Segment struct {
 	ID     uint64
 	Tokens int
 }
@@ -70,8 +70,8 @@
 	// Server must be the one that takes the request; any other refuses it.
 	Server backend.Server
 	// Left is the time that the server may take.
-	Left  time.Duration
-	Stage Stage
+	Remaining time.Duration
+	Stage     Stage
 	// KVSource is where the prompt's KV cache is fetched from, empty for none.
 	KVSource string
 	// Priority orders requests at an engine: 0 first, 9 last.
@@ -84,7 +84,7 @@
 const DefaultPriority = 5
 
 // Answer is the head of a backend server's answer.
-type Answer struct {
+type ResponseHead struct {
 	Status int
 	Header http.Header
 	// ID is the request that is answered; empty if the server did not say.
@@ -105,7 +105,7 @@
 // Limit is what a server says of the requests that it takes from all gateways together.
 // The zero Limit says that it names none.
 type Limit struct {
-	Named bool
+	Limited bool
 	// PerSecond is how many it takes a second, if Named.
 	PerSecond float64
 	// Invalid is what the server said if it could not be understood: whether it names a
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -47,7 +47,7 @@
 	// answer, within which an answer is worth most.
 	Objective time.Duration
 	// Pause is the longest time between two events of an answer in time; 0 is unknown.
-	Pause time.Duration
+	InterEventObjective time.Duration
 	// Priority ranks routes; 0 is the most urgent.
 	Priority int
 	// Attempts is how many backend servers one request may be run on.
@@ -137,12 +137,12 @@
 
 // LongestAnswer returns how many of the longest pauses between its events an answer
 // of a service's model routes may last.
-func (t *Table) LongestAnswer(service string) int {
+func (t *Table) MaxAnswerEvents(service string) int {
 	longest := 0
 	for _, rules := range t.byHost {
 		for _, r := range rules {
-			if r.Model && r.Pause > 0 && r.goesTo(service) {
-				longest = max(longest, int((r.Timeout-r.Objective)/r.Pause))
+			if r.Model && r.InterEventObjective > 0 && r.goesTo(service) {
+				longest = max(longest, int((r.Timeout-r.Objective)/r.InterEventObjective))
 			}
 		}
 	}
--- a/internal/sidecar/backend.go
+++ b/internal/sidecar/backend.go
@@ -59,7 +59,7 @@
 	defer abort()
 	stop := context.AfterFunc(ctx, func() { m.cancel(request.ID, abort) })
 	defer stop()
-	finish, err := m.engine.Generate(generating, request, func(p engine.Piece) error {
+	finish, err := m.engine.Generate(generating, request, func(p engine.Chunk) error {
 		return emit([]byte(p.Text), uint32(p.Tokens))
 	})
 	if err != nil {
@@ -86,18 +86,18 @@
 func engineRequest(start *wire.Start, deadline time.Time) engine.Request {
 	g := start.GetGenerate()
 	return engine.Request{
-		ID:          engineRequestID(start),
-		Model:       g.GetModel(),
-		Adapter:     g.GetAdapter(),
-		Prompt:      g.GetPrompt(),
-		MaxTokens:   int(g.GetMaxTokens()),
-		Priority:    int(start.GetClass()),
-		ResumeFrom:  int(g.GetResumeFrom()),
-		ResumeText:  g.GetResumeText(),
-		KV:          engineTicket(g.GetKv()),
-		PrefillOnly: g.GetPrefillOnly(),
-		TimeoutMS:   time.Until(deadline).Milliseconds(),
-		StartBefore: deadline,
+		ID:           engineRequestID(start),
+		Model:        g.GetModel(),
+		Adapter:      g.GetAdapter(),
+		Prompt:       g.GetPrompt(),
+		MaxTokens:    int(g.GetMaxTokens()),
+		Priority:     int(start.GetClass()),
+		ResumeFrom:   int(g.GetResumeFrom()),
+		ResumeText:   g.GetResumeText(),
+		KV:           engineTicket(g.GetKv()),
+		PrefillOnly:  g.GetPrefillOnly(),
+		TimeoutMS:    time.Until(deadline).Milliseconds(),
+		SendDeadline: deadline,
 	}
 }
 
@@ -142,11 +142,11 @@
 	switch {
 	case errors.Is(err, engine.ErrNotSent):
 		return verdict.Refused(verdict.CodeBackend, err.Error(), refusedRetryAfter)
-	case errors.Is(err, engine.ErrRefused):
+	case errors.Is(err, engine.ErrRejected):
 		return verdict.Refused(verdict.CodeOverloaded, err.Error(), refusedRetryAfter)
-	case errors.Is(err, engine.ErrInvalid):
+	case errors.Is(err, engine.ErrInvalidRequest):
 		return verdict.New(verdict.NotRun, verdict.CodeBadRequest, err.Error())
-	case errors.Is(err, engine.ErrFailed):
+	case errors.Is(err, engine.ErrRequestFailed):
 		return verdict.New(verdict.MayHaveRun, verdict.CodeBackend, err.Error())
 	default:
 		return verdict.New(verdict.MayHaveRun, verdict.CodeBroken, err.Error())
@@ -217,7 +217,7 @@
 		// The path would run into the address and change it.
 		return nil, eris.Errorf("path %q of the call is not absolute", call.GetPath())
 	}
-	body := engine.NewTimedBody(call.GetBody(), deadline)
+	body := engine.NewDeadlineBody(call.GetBody(), deadline)
 	req, err := http.NewRequestWithContext(ctx, call.GetMethod(), p.base+call.GetPath(), body)
 	if err != nil {
 		return nil, eris.Wrap(err, "call")
@@ -263,7 +263,7 @@
 func callError(err error) error {
 	var op *net.OpError
 	switch {
-	case errors.Is(err, engine.ErrTooLate):
+	case errors.Is(err, engine.ErrDeadlinePassed):
 		return verdict.New(verdict.MayHaveRun, verdict.CodeDeadline, err.Error())
 	case errors.As(err, &op) && op.Op == "dial":
 		return verdict.Refused(verdict.CodeBackend, err.Error(), refusedRetryAfter)
--- a/internal/sidecar/claimer.go
+++ b/internal/sidecar/claimer.go
@@ -14,7 +14,7 @@
 	Claim(ctx context.Context, r claims.Request) claims.Answer
 	Finished(r claims.Request, result claims.Result)
 	NotStarted(r claims.Request)
-	Lost(r claims.Request)
+	ResultLost(r claims.Request)
 }
 
 var _ claimKeeper = (*claims.Duty)(nil)
@@ -63,7 +63,7 @@
 	case verdict.Ran:
 		keeper.Finished(r, claimResult(e))
 	default:
-		keeper.Lost(r)
+		keeper.ResultLost(r)
 	}
 }
 
--- a/internal/sidecar/duties_test.go
+++ b/internal/sidecar/duties_test.go
@@ -225,9 +225,9 @@
 func startDrain(d *ordersDuty, now time.Time) {
 	GinkgoHelper()
 	ready := engine.State{Ready: true, Applied: engine.Order{Model: "a"}}
-	d.executor.Step(now, orders.WorkRunning{Count: 1})
+	d.executor.Step(now, orders.RunningRequests{Count: 1})
 	d.executor.Step(now, orders.StateRead{Asked: now, State: ready})
-	d.executor.Step(now, orders.RowSeen{Row: plan.Engine{Generation: 1, Model: "b"}})
+	d.executor.Step(now, orders.RowReceived{Row: plan.Engine{Generation: 1, Model: "b"}})
 	Expect(d.executor.Phase()).To(Equal(orders.Draining))
 }
 
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -63,7 +63,7 @@
 		d.announceVersions(snapshot)
 		select {
 		case <-changed:
-		case <-d.claims.Changed():
+		case <-d.claims.OwnershipChanged():
 			d.control.announce(d.slotsFrame())
 		case <-ticker.C:
 		case <-ctx.Done():
--- a/internal/sidecar/orders.go
+++ b/internal/sidecar/orders.go
@@ -68,7 +68,7 @@
 
 // setRow gives the engine's row of the plan in force.
 func (d *ordersDuty) setRow(ctx context.Context, row plan.Engine) {
-	_ = d.inbox.PutWait(ctx, orders.RowSeen{Row: row})
+	_ = d.inbox.PutWait(ctx, orders.RowReceived{Row: row})
 }
 
 // setDrainTimeout gives the time that operators leave running requests before
@@ -91,7 +91,7 @@
 		case count := <-d.requests.counts.C():
 			d.countWork(ctx, count)
 		case <-d.requests.broke.C():
-			d.step(ctx, orders.EngineBroke{})
+			d.step(ctx, orders.EngineMayHaveCrashed{})
 		case <-ticker.C:
 			d.step(ctx, orders.Tick{})
 		case <-ctx.Done():
@@ -104,7 +104,7 @@
 	switch m := m.(type) {
 	case ordersAsk:
 		m.reply <- d.dump()
-	case orders.RowSeen:
+	case orders.RowReceived:
 		d.row = m.Row
 		d.step(ctx, m)
 	case orders.DrainTimeoutSet:
@@ -129,7 +129,7 @@
 	if c.admitting {
 		count++
 	}
-	d.step(ctx, orders.WorkRunning{Count: count})
+	d.step(ctx, orders.RunningRequests{Count: count})
 }
 
 func (d *ordersDuty) step(ctx context.Context, event orders.Event) {
@@ -143,8 +143,8 @@
 	case orders.Admit:
 		d.admit(ctx, e)
 	case orders.StopAdmitting:
-		d.note("stops admitting", e.Why)
-		d.stopAdmitting(ctx, e.Why)
+		d.note("stops admitting", e.Reason)
+		d.stopAdmitting(ctx, e.Reason)
 	case orders.HandOver:
 		d.admission.tell(ctx, engineHandOver{})
 	case orders.ReadState:
@@ -160,7 +160,7 @@
 	d.number++
 	d.note("admits", fmt.Sprintf("generation %d: %s %s", e.Applied.Generation, e.Applied.Role, e.Applied.Model))
 	d.admission.tell(ctx, engineOpen{number: d.number})
-	d.step(ctx, orders.WorkRunning{Count: 1})
+	d.step(ctx, orders.RunningRequests{Count: 1})
 }
 
 // stopAdmitting closes the admission. What runs is not known until the request
--- a/internal/sidecar/requests/expire.go
+++ b/internal/sidecar/requests/expire.go
@@ -9,7 +9,7 @@
 
 // expire answers what the passing of time has decided.
 func (t *Table) expire(now time.Time) {
-	for _, removed := range t.queue.Expired(now) {
+	for _, removed := range t.queue.TakeExpired(now) {
 		if r := t.items[removed.ID]; r != nil {
 			t.endUnstarted(now, r, removalError(removed.Reason))
 		}
--- a/internal/sidecar/requests/load.go
+++ b/internal/sidecar/requests/load.go
@@ -81,5 +81,5 @@
 // pieces returns the KV cache pieces of a request at its end.
 func pieces(s *wire.Start) int {
 	tokens := promptTokens(s) + outputTokens(s)
-	return (tokens + engine.PieceTokens - 1) / engine.PieceTokens
+	return (tokens + engine.KVBlockTokens - 1) / engine.KVBlockTokens
 }
--- a/internal/sidecar/requests/requests.go
+++ b/internal/sidecar/requests/requests.go
@@ -108,7 +108,7 @@
 		streams: map[Stream]*request{},
 		runs:    map[RunID]*request{},
 		claims:  map[ClaimID]*request{},
-		queue:   queue.New(queue.Config{Items: cfg.QueueLength, PieceTokens: engine.PieceTokens}),
+		queue:   queue.New(queue.Config{MaxItems: cfg.QueueLength, PieceTokens: engine.KVBlockTokens}),
 		ledger:  newLedger(cfg.Records, cfg.ResultBytes, cfg.MaxFrameAge),
 		closed:  verdict.Refused(verdict.CodeNoBackend, "the sidecar has just started", DefaultRetryAfter),
 	}
--- a/internal/sidecar/requests/run.go
+++ b/internal/sidecar/requests/run.go
@@ -23,7 +23,7 @@
 	}
 	for {
 		slots, pieces := t.room()
-		item, ok := t.queue.Pop(now, queue.Room{Slots: slots, Pieces: pieces})
+		item, ok := t.queue.Pop(now, queue.Capacity{Slots: slots, Pieces: pieces})
 		if !ok {
 			return
 		}
--- a/test/cmd/capacity/state.go
+++ b/test/cmd/capacity/state.go
@@ -54,10 +54,10 @@
 func accounts() {
 	now := time.Unix(1000, 0)
 	before := heap()
-	a := admit.New(admit.Config{Rand: rand.New(rand.NewPCG(1, 1)), Accounts: targetAccounts})
+	a := admit.New(admit.Config{Rand: rand.New(rand.NewPCG(1, 1)), MaxAccounts: targetAccounts})
 	decide := func(i int) {
 		request := admit.Request{Caller: fmt.Sprintf("account-%d", i%targetAccounts), CostTokens: 500, Deadline: time.Second}
-		a.Decide(now.Add(time.Duration(i)*time.Microsecond), request, admit.Picture{DrainRate: 1e5, QueueWait: time.Second, Part: 1})
+		a.Decide(now.Add(time.Duration(i)*time.Microsecond), request, admit.LoadSnapshot{DrainRate: 1e5, QueueDelay: time.Second, EntryShare: 1})
 	}
 	first := timed(targetAccounts, decide)
 	row("memory per account", (heap()-before)/targetAccounts, "bytes")
--- a/test/loadplay/entry.go
+++ b/test/loadplay/entry.go
@@ -123,13 +123,13 @@
 			RunTime:    expected.run,
 			Class:      r.Class,
 			Service:    r.Service,
-		}, admit.Picture{
-			QueueWait: expected.wait,
-			DrainRate: drain,
-			Part:      1 / float64(e.play.deployment.Entries),
-			Closed:    !ok,
+		}, admit.LoadSnapshot{
+			QueueDelay: expected.wait,
+			DrainRate:  drain,
+			EntryShare: 1 / float64(e.play.deployment.Entries),
+			NoCapacity: !ok,
 		})
-		e.count(r, d, a.Entitled)
+		e.count(r, d, a.EntitledFraction)
 		if !a.Admit {
 			e.play.result.refuse(c, a.Reason)
 			return
--- a/test/loadplay/play.go
+++ b/test/loadplay/play.go
@@ -203,7 +203,7 @@
 		usages := from.admits[Drafts].HeaviestAccounts(p.now, gossipAccounts)
 		for _, to := range p.entries {
 			if to != from {
-				p.after(time.Millisecond, func() { to.admits[Drafts].MergeRemote(p.now, from.name, usages) })
+				p.after(time.Millisecond, func() { to.admits[Drafts].SetRemoteUsage(p.now, from.name, usages) })
 			}
 		}
 	}
--- a/test/loadplay/policy.go
+++ b/test/loadplay/policy.go
@@ -107,7 +107,7 @@
 	return true, 0
 }
 
-func (f *fifo) Pop(_ time.Time, room queue.Room) (queue.Item, bool) {
+func (f *fifo) Pop(_ time.Time, room queue.Capacity) (queue.Item, bool) {
 	if room.Slots <= 0 || len(f.items) == 0 {
 		return queue.Item{}, false
 	}
@@ -130,6 +130,6 @@
 	return false
 }
 
-func (f *fifo) Expired(time.Time) []queue.Removed { return nil }
-func (f *fifo) Len() int                          { return len(f.items) }
-func (f *fifo) QueuedTokens() int                 { return f.tokens }
+func (f *fifo) TakeExpired(time.Time) []queue.Removed { return nil }
+func (f *fifo) Len() int                              { return len(f.items) }
+func (f *fifo) QueuedTokens() int                     { return f.tokens }
--- a/test/loadplay/server.go
+++ b/test/loadplay/server.go
@@ -36,9 +36,9 @@
 // out.
 type line interface {
 	Push(now time.Time, i queue.Item) (bool, time.Duration)
-	Pop(now time.Time, room queue.Room) (queue.Item, bool)
+	Pop(now time.Time, room queue.Capacity) (queue.Item, bool)
 	Remove(id string) bool
-	Expired(now time.Time) []queue.Removed
+	TakeExpired(now time.Time) []queue.Removed
 	Len() int
 	QueuedTokens() int
 }
--- a/test/loadplay/sidecar.go
+++ b/test/loadplay/sidecar.go
@@ -75,7 +75,7 @@
 
 func (p *play) expire(s *server) {
 	for _, q := range []line{s.prefillQueue, s.decodeQueue} {
-		for _, r := range q.Expired(p.now) {
+		for _, r := range q.TakeExpired(p.now) {
 			j := p.jobs[r.ID]
 			if r.Reason == queue.Displaced {
 				j.entry.refused(j)
@@ -93,7 +93,7 @@
 		limit = plainSlots
 	}
 	for !s.changing && (s.role != shift.Decode || s.spill.Share > 0) {
-		room := queue.Room{Slots: limit - len(s.prefills), Pieces: runPieces - s.usedPieces()}
+		room := queue.Capacity{Slots: limit - len(s.prefills), Pieces: runPieces - s.usedPieces()}
 		i, ok := s.prefillQueue.Pop(p.now, room)
 		if !ok {
 			break
@@ -103,7 +103,7 @@
 		s.prefills = append(s.prefills, j)
 	}
 	for !s.changing && s.role != shift.Prefill {
-		room := queue.Room{Slots: slots - len(s.streams), Pieces: runPieces - s.usedPieces()}
+		room := queue.Capacity{Slots: slots - len(s.streams), Pieces: runPieces - s.usedPieces()}
 		i, ok := s.decodeQueue.Pop(p.now, room)
 		if !ok {
 			break
@@ -199,7 +199,7 @@
 // handBack returns what has not begun to the entries, which send it elsewhere.
 func (p *play) handBack(q line) {
 	for {
-		i, ok := q.Pop(p.now, queue.Room{Slots: 1, Pieces: runPieces})
+		i, ok := q.Pop(p.now, queue.Capacity{Slots: 1, Pieces: runPieces})
 		if !ok {
 			return
 		}
--- a/test/soak/engine.go
+++ b/test/soak/engine.go
@@ -46,14 +46,14 @@
 	broken := e.running
 	e.restart()
 	for _, id := range sortedInts(broken) {
-		broken[id](engine.ErrBroken)
+		broken[id](engine.ErrInterrupted)
 	}
 }
 
 // generate runs one request; emit gets each token, end the end.
 func (e *fakeEngine) generate(text string, from int, emit func(int, string), end func(error)) (cancel func()) {
 	if !e.state.Ready {
-		end(engine.ErrRefused)
+		end(engine.ErrRejected)
 		return func() {}
 	}
 	e.next++
@@ -79,7 +79,7 @@
 		e.w.after(tokenInterval, func() { token(place + 1) })
 	}
 	e.w.after(e.w.between(time.Millisecond, 30*time.Millisecond), func() { token(from) })
-	return func() { finish(engine.ErrBroken) }
+	return func() { finish(engine.ErrInterrupted) }
 }
 
 // order takes an order as it arrives.
--- a/test/soak/sidecar.go
+++ b/test/soak/sidecar.go
@@ -108,7 +108,7 @@
 		s.carryOut(effect)
 	}
 	if s.orders != nil {
-		s.order(orders.WorkRunning{Count: s.table.Running()})
+		s.order(orders.RunningRequests{Count: s.table.Running()})
 	}
 }
 
@@ -137,7 +137,7 @@
 	case requests.Settle:
 		s.settle(e)
 	case requests.Suspect:
-		s.order(orders.EngineBroke{})
+		s.order(orders.EngineMayHaveCrashed{})
 	}
 }
 
@@ -233,7 +233,7 @@
 	switch err {
 	case nil:
 		s.step(requests.Ended{Run: run, Final: &wire.Final{FinishReason: "length", OutputTokens: answerTokens}})
-	case engine.ErrRefused:
+	case engine.ErrRejected:
 		s.step(requests.Ended{Run: run, Err: verdict.New(verdict.NotRun, verdict.CodeNoBackend, "engine refused")})
 	default:
 		s.step(requests.Ended{Run: run, Err: verdict.New(verdict.MayHaveRun, verdict.CodeBroken, "engine broke off")})
@@ -259,7 +259,7 @@
 		case orders.Admit:
 			s.step(requests.Admit{})
 		case orders.StopAdmitting:
-			s.step(requests.StopAdmitting{Code: verdict.CodeDraining, Why: effect.Why})
+			s.step(requests.StopAdmitting{Code: verdict.CodeDraining, Why: effect.Reason})
 		case orders.HandOver:
 			s.step(requests.HandOver{})
 		case orders.ReadState:
@@ -298,7 +298,7 @@
 	}
 	s.w.Faults["order answer lost"]++
 	s.w.after(s.w.between(0, orderTimeout-tickEvery), func() { _ = s.engine.order(o) })
-	s.w.on(&s.node, s.w.between(0, time.Second), func() { answer(engine.ErrBroken) })
+	s.w.on(&s.node, s.w.between(0, time.Second), func() { answer(engine.ErrInterrupted) })
 }
 
 // offer takes an object from a relay.
@@ -311,7 +311,7 @@
 		return
 	}
 	if row, ok := p.Engines[s.name]; ok && s.orders != nil {
-		s.order(orders.RowSeen{Row: row})
+		s.order(orders.RowReceived{Row: row})
 	}
 	for n, owner := range p.Slots[serviceHolds].Owners {
 		if s.slots != nil {
@@ -331,7 +331,7 @@
 	}
 	s.claimed[e.Claim] = claimRun{request: request}
 	s.tokens[s.token] = e.Claim
-	s.slot(claims.SlotOf(e.Key, keySlots), claims.Asked{Token: s.token, Request: request})
+	s.slot(claims.SlotOf(e.Key, keySlots), claims.ClaimRequested{Token: s.token, Request: request})
 }
 
 func (s *sidecar) settle(e requests.Settle) {
@@ -348,7 +348,7 @@
 		}
 		s.slot(slot, claims.Finished{Request: run.request, Result: claims.NewResult(int(e.Final.GetStatus()), nil, body)})
 	default:
-		s.slot(slot, claims.Lost{Request: run.request})
+		s.slot(slot, claims.ResultLost{Request: run.request})
 	}
 }
 
@@ -356,7 +356,7 @@
 func (s *sidecar) slot(n int, ev claims.Event) {
 	for _, effect := range s.slots[n].Step(s.w.now, ev) {
 		switch e := effect.(type) {
-		case claims.Call:
+		case claims.StoreCall:
 			s.storeCall(n, e)
 		case claims.Reply:
 			s.reply(e)
@@ -367,7 +367,7 @@
 	}
 }
 
-func (s *sidecar) storeCall(n int, c claims.Call) {
+func (s *sidecar) storeCall(n int, c claims.StoreCall) {
 	if c.Call == sharedstate.CallGet {
 		s.store.get(&s.node, c.Name, func(o sharedstate.Object, err error) {
 			s.slot(n, claims.GetDone{Object: o, Err: err})
--- a/test/standin/modelengine/modelengine.go
+++ b/test/standin/modelengine/modelengine.go
@@ -206,7 +206,7 @@
 
 // run does the prefill and the decode of one request.
 func (s *Server) run(ctx context.Context, req engine.Request, out stream) (engine.Finish, error) {
-	pieces := route.Pieces(req.Prompt)
+	pieces := route.PrefixBlocks(req.Prompt)
 	imported := s.importKV(ctx, req.KV)
 	cached, err := s.doPrefill(ctx, req, pieces, imported)
 	if err != nil {
@@ -232,7 +232,7 @@
 	defer s.prefill.Unlock()
 	s.mu.Lock()
 	total := promptTokens(req.Prompt)
-	cached := min(total, s.cache.hit(pieces)*engine.PieceTokens)
+	cached := min(total, s.cache.hit(pieces)*engine.KVBlockTokens)
 	s.mu.Unlock()
 	if imported {
 		cached = total
@@ -254,7 +254,7 @@
 		if !pause.For(ctx, s.tokenInterval()) {
 			return ctx.Err()
 		}
-		out.send(line{Piece: &engine.Piece{Text: text[i*width : (i+1)*width], Tokens: 1}})
+		out.send(line{Piece: &engine.Chunk{Text: text[i*width : (i+1)*width], Tokens: 1}})
 		s.mu.Lock()
 		if g := s.running[req.ID]; g != nil {
 			g.remaining--
@@ -446,7 +446,7 @@
 
 // line is one line of an answer.
 type line struct {
-	Piece  *engine.Piece  `json:"piece,omitempty"`
+	Piece  *engine.Chunk  `json:"piece,omitempty"`
 	Finish *engine.Finish `json:"finish,omitempty"`
 	Error  string         `json:"error,omitempty"`
 }
