--- a/internal/decide/outlier/outlier.go
+++ b/internal/decide/outlier/outlier.go
@@ -1,12 +1,12 @@
-// Package outlier finds backend servers that do worse than their peers.
+// Package outlier detects backend servers that perform worse than their peers.
 //
-// It answers a slow backend server: one whose hardware throttles or whose
-// neighbour is noisy still accepts work, so a least-queue choice keeps feeding
-// it, and the slowest one sets the 95th percentile of all. One notices by a
-// latency tail that follows one name. A Detector lowers the weight of such a
-// backend server, keeps a probe share so that its recovery is seen, and never
-// sidelines more than a bounded part, because when most look bad the cause is
-// the load and not the servers.
+// It guards against a slow backend server: one with throttled hardware or a noisy
+// neighbour still accepts requests, so that least-queue balancing keeps sending to it,
+// and the slowest server sets the 95th percentile of all. Symptom: tail latency that
+// correlates with one server. A Detector lowers the weight of such a server, keeps
+// sending it enough requests to detect its recovery, and never lowers the weights of
+// more than a bounded fraction, because when most servers look bad the cause is the
+// load and not the servers.
 package outlier
 
 import (
@@ -17,82 +17,83 @@
 )
 
 const (
-	// DefaultRatio is how much slower than the median of its peers a backend
-	// server may be before it loses weight. Engines of one kind differ by some
-	// tens of percent with the batch; twice the median does not come from that.
-	DefaultRatio = 2.0
-	// DefaultErrors is the share of failed attempts above the median's from
-	// which a backend server loses weight.
-	DefaultErrors = 0.2
-	// DefaultProbe is the least weight: enough requests to see a recovery
-	// within a minute, few enough not to show in a 95th percentile.
-	DefaultProbe = 0.05
-	// DefaultPart is the largest part of the peers that may lose weight at
-	// once. A fixed fleet that is loaded to four fifths cannot lose more than
-	// a fifth and still serve.
-	DefaultPart = 0.25
-	// DefaultHalfLife is how fast observations are forgotten.
+	// DefaultLatencyRatio is how many times as slow as the median of its peers a
+	// backend server may be before it loses weight. Engines of one kind differ by some
+	// tens of percent with the batch; that does not reach twice the median.
+	DefaultLatencyRatio = 2.0
+	// DefaultErrorMargin is by how much the error rate of a backend server may exceed
+	// the median before it loses weight.
+	DefaultErrorMargin = 0.2
+	// DefaultMinWeight is the minimum weight: enough requests to detect a recovery
+	// within a minute, too few to show in a 95th percentile.
+	DefaultMinWeight = 0.05
+	// DefaultMaxOutlierFraction is the largest fraction of the peers whose weights may
+	// be lowered concurrently. A fixed fleet at 80% load cannot lose more than a fifth
+	// and still serve.
+	DefaultMaxOutlierFraction = 0.25
+	// DefaultHalfLife is the half-life of observations.
 	DefaultHalfLife = 10 * time.Second
-	// DefaultLeast is how many observations, after decay, a verdict needs.
-	DefaultLeast = 5.0
-	// DefaultServers bounds the backend servers tracked.
-	DefaultServers = 1_024
+	// DefaultMinObservations is how many observations, after decay, are needed to
+	// compare a backend server with its peers.
+	DefaultMinObservations = 5.0
+	// DefaultMaxServers limits the number of backend servers tracked.
+	DefaultMaxServers = 1_024
 )
 
-// Config sets a Detector. The zero value of a field means its default.
+// Config configures a Detector. The zero value of a field means its default.
 type Config struct {
-	Ratio    float64
-	Errors   float64
-	Probe    float64
-	Part     float64
-	HalfLife time.Duration
-	Least    float64
-	Servers  int
+	LatencyRatio       float64
+	ErrorMargin        float64
+	MinWeight          float64
+	MaxOutlierFraction float64
+	HalfLife           time.Duration
+	MinObservations    float64
+	MaxServers         int
 }
 
 // Observation is the outcome of one attempt.
 type Observation struct {
-	// Took is the measured time and Expected what the same work takes on a
-	// healthy backend server; their ratio makes long and short work comparable.
+	// Took is the measured time and Expected what the same work takes on a healthy
+	// backend server; their ratio makes long and short work comparable.
 	Took, Expected time.Duration
 	Failed         bool
 }
 
-// Detector compares the backend servers of one group of peers: the same
-// service, role and model. Its methods are for one goroutine.
+// Detector compares the backend servers of one group of peers: the same service, role
+// and model. It is not safe for concurrent use.
 type Detector struct {
-	cfg     Config
-	servers map[string]*server
-	weights map[string]float64
-	weighed time.Time
+	cfg              Config
+	servers          map[string]*server
+	weights          map[string]float64
+	weightsUpdatedAt time.Time
 }
 
 // server holds sums that decay with the half-life.
 type server struct {
-	count, ratios, failures float64
-	at                      time.Time
+	count, latencyRatioSum, failures float64
+	decayedAt                        time.Time
 }
 
-// New returns a Detector.
+// New returns a Detector without observations.
 func New(cfg Config) *Detector {
-	cfg.Ratio = cmp.Or(cfg.Ratio, DefaultRatio)
-	cfg.Errors = cmp.Or(cfg.Errors, DefaultErrors)
-	cfg.Probe = cmp.Or(cfg.Probe, DefaultProbe)
-	cfg.Part = cmp.Or(cfg.Part, DefaultPart)
+	cfg.LatencyRatio = cmp.Or(cfg.LatencyRatio, DefaultLatencyRatio)
+	cfg.ErrorMargin = cmp.Or(cfg.ErrorMargin, DefaultErrorMargin)
+	cfg.MinWeight = cmp.Or(cfg.MinWeight, DefaultMinWeight)
+	cfg.MaxOutlierFraction = cmp.Or(cfg.MaxOutlierFraction, DefaultMaxOutlierFraction)
 	cfg.HalfLife = cmp.Or(cfg.HalfLife, DefaultHalfLife)
-	cfg.Least = cmp.Or(cfg.Least, DefaultLeast)
-	cfg.Servers = cmp.Or(cfg.Servers, DefaultServers)
+	cfg.MinObservations = cmp.Or(cfg.MinObservations, DefaultMinObservations)
+	cfg.MaxServers = cmp.Or(cfg.MaxServers, DefaultMaxServers)
 	return &Detector{cfg: cfg, servers: make(map[string]*server)}
 }
 
-// Observe takes in one outcome of the backend server called name.
+// Observe records the outcome of one attempt on the named backend server.
 func (d *Detector) Observe(now time.Time, name string, o Observation) {
 	s, ok := d.servers[name]
 	if !ok {
-		if len(d.servers) >= d.cfg.Servers {
+		if len(d.servers) >= d.cfg.MaxServers {
 			return
 		}
-		s = &server{at: now}
+		s = &server{decayedAt: now}
 		d.servers[name] = s
 	}
 	s.decay(now, d.cfg.HalfLife)
@@ -101,22 +102,23 @@
 		s.failures++
 	}
 	if o.Expected > 0 {
-		s.ratios += min(maxRatio, float64(o.Took)/float64(o.Expected))
+		s.latencyRatioSum += min(maxLatencyRatio, float64(o.Took)/float64(o.Expected))
 	} else {
-		s.ratios++
+		s.latencyRatioSum++
 	}
 }
 
-// Forget drops a backend server that has left.
+// Forget drops the observations of a backend server that has left.
 func (d *Detector) Forget(name string) {
 	delete(d.servers, name)
 	delete(d.weights, name)
 }
 
-// Weight returns the share of its usual work that name should get, in (0, 1].
+// Weight returns the fraction of its usual traffic that the named backend server should
+// get, in (0, 1].
 func (d *Detector) Weight(now time.Time, name string) float64 {
-	if d.weights == nil || now.Sub(d.weighed) >= weighPeriod {
-		d.weigh(now)
+	if d.weights == nil || now.Sub(d.weightsUpdatedAt) >= weightUpdateInterval {
+		d.updateWeights(now)
 	}
 	if w, ok := d.weights[name]; ok {
 		return w
@@ -125,35 +127,36 @@
 }
 
 const (
-	// weighPeriod bounds how often the peers are compared.
-	weighPeriod = 250 * time.Millisecond
-	// maxRatio caps one observation, so that a single stall is not a verdict.
-	maxRatio = 20
+	// weightUpdateInterval limits how often the peers are compared.
+	weightUpdateInterval = 250 * time.Millisecond
+	// maxLatencyRatio caps one observation, so that a single stall does not make a
+	// server an outlier.
+	maxLatencyRatio = 20
 )
 
 type score struct {
-	name            string
-	ratio, failures float64
-	weight          float64
+	name                    string
+	latencyRatio, errorRate float64
+	weight                  float64
 }
 
-func (d *Detector) weigh(now time.Time) {
-	d.weighed = now
+func (d *Detector) updateWeights(now time.Time) {
+	d.weightsUpdatedAt = now
 	d.weights = make(map[string]float64)
 	scores := d.scores(now)
 	if len(scores) < 3 {
-		return // Of two, neither is the odd one out.
+		return // With only two, it is unknown which one is the outlier.
 	}
-	ratio := median(scores, func(s score) float64 { return s.ratio })
-	failures := median(scores, func(s score) float64 { return s.failures })
+	medianLatencyRatio := median(scores, func(s score) float64 { return s.latencyRatio })
+	medianErrorRate := median(scores, func(s score) float64 { return s.errorRate })
 	for i, s := range scores {
-		scores[i].weight = d.weightOf(s, ratio, failures)
+		scores[i].weight = d.weightOf(s, medianLatencyRatio, medianErrorRate)
 	}
 	slices.SortFunc(scores, func(a, b score) int {
 		return cmp.Or(cmp.Compare(a.weight, b.weight), cmp.Compare(a.name, b.name))
 	})
-	most := max(1, int(d.cfg.Part*float64(len(scores))))
-	for _, s := range scores[:most] {
+	limit := max(1, int(d.cfg.MaxOutlierFraction*float64(len(scores))))
+	for _, s := range scores[:limit] {
 		if s.weight < 1 {
 			d.weights[s.name] = s.weight
 		}
@@ -164,30 +167,31 @@
 	var scores []score
 	for name, s := range d.servers {
 		s.decay(now, d.cfg.HalfLife)
-		if s.count < forgetCount {
+		if s.count < minTrackedCount {
 			delete(d.servers, name)
 			continue
 		}
-		if s.count < d.cfg.Least {
+		if s.count < d.cfg.MinObservations {
 			continue
 		}
-		scores = append(scores, score{name: name, ratio: s.ratios / s.count, failures: s.failures / s.count})
+		scores = append(scores, score{name: name, latencyRatio: s.latencyRatioSum / s.count, errorRate: s.failures / s.count})
 	}
 	return scores
 }
 
-// forgetCount is the decayed count at which a backend server is unknown again.
-const forgetCount = 0.01
+// minTrackedCount is the decayed count below which a backend server is no longer
+// tracked.
+const minTrackedCount = 0.01
 
-func (d *Detector) weightOf(s score, ratio, failures float64) float64 {
+func (d *Detector) weightOf(s score, medianLatencyRatio, medianErrorRate float64) float64 {
 	w := 1.0
-	if limit := d.cfg.Ratio * ratio; s.ratio > limit {
-		w = limit / s.ratio / d.cfg.Ratio
+	if limit := d.cfg.LatencyRatio * medianLatencyRatio; s.latencyRatio > limit {
+		w = limit / s.latencyRatio / d.cfg.LatencyRatio
 	}
-	if s.failures > failures+d.cfg.Errors {
-		w = min(w, 1-s.failures)
+	if s.errorRate > medianErrorRate+d.cfg.ErrorMargin {
+		w = min(w, 1-s.errorRate)
 	}
-	return max(d.cfg.Probe, w)
+	return max(d.cfg.MinWeight, w)
 }
 
 func median(scores []score, of func(score) float64) float64 {
@@ -200,13 +204,13 @@
 }
 
 func (s *server) decay(now time.Time, halfLife time.Duration) {
-	dt := now.Sub(s.at)
+	dt := now.Sub(s.decayedAt)
 	if dt <= 0 {
 		return
 	}
-	s.at = now
-	keep := math.Exp2(-dt.Seconds() / halfLife.Seconds())
-	s.count *= keep
-	s.ratios *= keep
-	s.failures *= keep
+	s.decayedAt = now
+	factor := math.Exp2(-dt.Seconds() / halfLife.Seconds())
+	s.count *= factor
+	s.latencyRatioSum *= factor
+	s.failures *= factor
 }
--- a/internal/decide/outlier/outlier_test.go
+++ b/internal/decide/outlier/outlier_test.go
@@ -45,22 +45,22 @@
 }
 
 var _ = Describe("Detector", func() {
-	// One runner throttles to a fifth of its speed but still accepts work. One
-	// draft in eight is then late, and which one is a matter of luck.
-	It("lowers the share of a slow backend server and lets it recover", func() {
+	// Guards against a throttled server that still accepts requests: at a fifth of its
+	// speed it makes one request in eight late, at random.
+	It("lowers the weight of a slow backend server and lets it recover", func() {
 		d := outlier.New(outlier.Config{})
 		observe(d, 0, 30*time.Second, 8, slowFirst(1))
 		Expect(d.Weight(at(30*time.Second), name(0))).To(BeNumerically("<", 0.3))
-		Expect(d.Weight(at(30*time.Second), name(0))).To(BeNumerically(">=", outlier.DefaultProbe))
+		Expect(d.Weight(at(30*time.Second), name(0))).To(BeNumerically(">=", outlier.DefaultMinWeight))
 		Expect(d.Weight(at(30*time.Second), name(1))).To(BeEquivalentTo(1))
 
 		observe(d, 30*time.Second, 90*time.Second, 8, healthy)
 		Expect(d.Weight(at(90*time.Second), name(0))).To(BeEquivalentTo(1))
 	})
 
-	// All get slow because the load is high. Sidelining them would put the
-	// same load on fewer servers, which then get slow in turn.
-	It("sidelines at most a bounded part", func() {
+	// Guards against lowering the weights of many servers that are slow because of high
+	// load: the same load on fewer servers would slow these down in turn.
+	It("lowers the weights of at most a bounded fraction", func() {
 		d := outlier.New(outlier.Config{})
 		observe(d, 0, 30*time.Second, 8, slowFirst(3))
 		lowered := 0
@@ -72,15 +72,15 @@
 		Expect(lowered).To(Equal(2))
 	})
 
-	It("treats a server that fails as one that is slow", func() {
+	It("lowers the weight of a server that fails", func() {
 		d := outlier.New(outlier.Config{})
 		observe(d, 0, 30*time.Second, 8, func(i int) outlier.Observation {
 			return outlier.Observation{Took: time.Second, Expected: time.Second, Failed: i == 4}
 		})
-		Expect(d.Weight(at(30*time.Second), name(4))).To(BeEquivalentTo(outlier.DefaultProbe))
+		Expect(d.Weight(at(30*time.Second), name(4))).To(BeEquivalentTo(outlier.DefaultMinWeight))
 	})
 
-	It("forgets a verdict that nothing renews", func() {
+	It("restores the full weight of a server without recent observations", func() {
 		d := outlier.New(outlier.Config{})
 		observe(d, 0, 30*time.Second, 8, slowFirst(1))
 		Expect(d.Weight(at(10*time.Minute), name(0))).To(BeEquivalentTo(1))
--- a/internal/decide/place/admit.go
+++ b/internal/decide/place/admit.go
@@ -3,122 +3,125 @@
 import "time"
 
 const (
-	// lateWaitPart is the part of the time left for which a prompt that cannot be
-	// in time any more may wait: it makes those after it late.
-	lateWaitPart = 0.03
-	// inTimePart is the part of the objective within which a first token must be
-	// expected. In saturation the last one let in is just in time by expectation,
-	// and half of those would be late by chance.
-	inTimePart = 0.85
-	// refusalGain is the part of a new outcome that the share of refusals takes
-	// on: the last twenty requests count, a second or less under load.
-	refusalGain = 0.05
-	// lastingRefusals is the share of refused requests from which a burst counts as
-	// one that lasts.
-	lastingRefusals = 0.3
-	// latePart is the part of the time left that a late first token may take.
-	// The rest is for the stream itself: a longer prompt would be read for an
-	// answer that its deadline cuts.
-	latePart = 0.6
-	// hopelessMiss is the chance of missing the deadline above which an answer is refused.
-	hopelessMiss = 0.97
-	// leastRetryAfter and maxRetryPart bound what a refused caller is told:
-	// callers keep to a third of the time that they have left.
-	leastRetryAfter = 100 * time.Millisecond
-	maxRetryPart    = 1.0 / 3
+	// maxLateQueueFraction is the fraction of the remaining time for which a prompt
+	// that can no longer meet its objective may queue: it makes those behind it late.
+	maxLateQueueFraction = 0.03
+	// admitObjectiveFraction is the fraction of the objective within which the first
+	// token must be expected. In saturation the last prompt admitted is expected just
+	// in time; with the full objective, half of those would be late by chance.
+	admitObjectiveFraction = 0.85
+	// rejectionRateGain is the EWMA weight of a new outcome in the rejection rate: the
+	// last twenty requests count, a second or less under load.
+	rejectionRateGain = 0.05
+	// sustainedRejectionRate is the rejection rate from which a burst counts as
+	// sustained.
+	sustainedRejectionRate = 0.3
+	// maxLateTTFTFraction is the fraction of the remaining time that a late first token
+	// may take. The rest is for the answer itself: a longer prompt would be prefilled
+	// for an answer that its deadline cuts off.
+	maxLateTTFTFraction = 0.6
+	// maxMissProbability is the probability of missing the deadline above which a
+	// request is rejected.
+	maxMissProbability = 0.97
+	// minRetryAfter and maxRetryFraction bound the Retry-After of a rejected caller:
+	// callers wait for at most a third of their remaining time before they retry.
+	minRetryAfter    = 100 * time.Millisecond
+	maxRetryFraction = 1.0 / 3
 )
 
-// The priorities of prompts at an engine, most urgent first.
+// Priorities of prompts at an engine, most urgent first.
 const (
-	// GeneratePriority is for prompts that another engine has read. They need a
-	// step and no reading, and must not wait behind the prompts that their engine
-	// reads itself.
+	// DecodePriority is for prompts that another engine has prefilled. They need a
+	// decode step and no prefill, and must not queue behind the prompts that their
+	// engine prefills itself.
 	DecodePriority = 1
 	// OnTimePriority is for prompts that can meet their objective.
 	OnTimePriority = 4
-	// LatePriority is for those that cannot any more: they take what the others
-	// leave.
+	// LatePriority is for prompts that can no longer meet it: they get the capacity
+	// that the others leave.
 	LatePriority = 7
 )
 
-// Urgency is what a caller still expects.
+// Constraints are the time limits of a request.
 type Constraints struct {
-	// Objective is the time left until the first token is late, Left until the
-	// caller gives up.
+	// Objective is the time until the first token is late, Remaining the time until the
+	// caller times out.
 	Objective, Remaining time.Duration
-	// Committed says that the request may have run, or that its caller has a part of
-	// the answer: it is not refused as one that cannot end in time.
+	// Committed is set if the request may have run, or if its caller has received some
+	// of the answer: it is not rejected for an expected deadline miss.
 	Committed bool
 }
 
-// Admission is whether a request is let in.
+// Admission is the outcome of admission control for a request.
 type Admission struct {
 	Admit bool
-	// Priority orders it at the engines.
+	// Priority is its priority at the engines.
 	Priority int
-	// RetryAfter is when a refused caller may come back.
+	// RetryAfter is when a rejected caller may retry.
 	RetryAfter time.Duration
-	// BySize says that it is let in because prompts of its length were too seldom.
+	// BySize is set if it is admitted because prompts of its length were admitted too
+	// rarely.
 	BySize bool
 }
 
-// admit decides whether a planned request is let in.
+// admit decides whether a planned request is admitted.
 //
-// It answers saturation, and a fleet that has lost engines or the knowledge of
-// their caches. Were every prompt let in, all would wait behind each other, each
-// be read for a caller who has left by then, and the fleet be busy with work
-// that is worth nothing; one notices by engines that read at full speed while
-// no answer is in time, and it does not end when the cause does.
-func admit(p Plan, u Constraints, refusals float64) Admission {
-	if p.hopeless(u) {
-		return Admission{RetryAfter: MaxRetryAfter(u.Remaining)}
+// It guards against overload, also after the loss of engines or of the estimates of
+// their caches. If every prompt were admitted, all would queue behind each other and be
+// prefilled for callers that have timed out by then. Symptom: engines prefill at full
+// speed while no answer is in time, and this continues after the cause is gone.
+func admit(p Plan, c Constraints, rejectionRate float64) Admission {
+	if p.willMissDeadline(c) {
+		return Admission{RetryAfter: MaxRetryAfter(c.Remaining)}
 	}
 	expected := p.ExpectedTTFT()
-	if expected <= part(inTimePart, u.Objective) || !p.Calibrated {
+	if expected <= scale(admitObjectiveFraction, c.Objective) || !p.Calibrated {
 		return Admission{Admit: true, Priority: OnTimePriority}
 	}
-	if p.QueueDelay+p.PrefillLag <= part(lateWaitPart, u.Remaining) && p.canEnd(u) {
+	if p.QueueDelay+p.PrefillLag <= scale(maxLateQueueFraction, c.Remaining) && p.canFinishInTime(c) {
 		return Admission{Admit: true, Priority: latePriority(p)}
 	}
-	return Admission{RetryAfter: max(leastRetryAfter, comeBack(expected, u, refusals))}
+	return Admission{RetryAfter: max(minRetryAfter, retryAfter(expected, c, rejectionRate))}
 }
 
-// hopeless reports whether the answer would miss its deadline.
-func (p Plan) hopeless(u Constraints) bool { return p.MissProbability > hopelessMiss && !u.Committed }
+// willMissDeadline reports whether the request is to be rejected because its answer
+// would almost certainly miss its deadline.
+func (p Plan) willMissDeadline(c Constraints) bool {
+	return p.MissProbability > maxMissProbability && !c.Committed
+}
 
-// canEnd reports whether a late first token leaves time for the answer.
-func (p Plan) canEnd(u Constraints) bool {
-	return !p.hopeless(u) && p.ExpectedTTFT() <= part(latePart, u.Remaining)
+// canFinishInTime reports whether a late first token leaves time for the answer.
+func (p Plan) canFinishInTime(c Constraints) bool {
+	return !p.willMissDeadline(c) && p.ExpectedTTFT() <= scale(maxLateTTFTFraction, c.Remaining)
 }
 
-// latePriority is the priority of a prompt that cannot be in time. A short one does
-// not go behind the others: it costs them next to nothing, and in a burst, in which
-// engines always have something more urgent to read, it would wait until its caller
-// leaves.
+// latePriority returns the priority of a prompt that cannot meet its objective. A short
+// one is not put behind the others: it costs them little, and in a burst, when engines
+// always have more urgent prompts, it would wait until its caller times out.
 func latePriority(p Plan) int {
-	if p.Short {
+	if p.ShortPrefill {
 		return OnTimePriority
 	}
 	return LatePriority
 }
 
-// comeBack is when a refused caller may return.
+// retryAfter returns when a rejected caller may retry.
 //
-// While few are refused, a queue is a little too long for a moment, and a caller
-// who returns as soon as it is shorter can still be in time. While many are, the
-// burst lasts for seconds: callers who return within it are refused once more,
-// and for good. They are told to come as late as they would.
-func comeBack(expected time.Duration, u Constraints, refusals float64) time.Duration {
-	latest := MaxRetryAfter(u.Remaining)
-	soon := min(expected-max(0, u.Objective), latest)
-	lasts := refusals / lastingRefusals
-	return soon + part(min(1, lasts*lasts), latest-soon)
+// While few are rejected, a queue is slightly too long for a moment, and a caller that
+// retries as soon as it is shorter can still be in time. While many are, the burst
+// lasts for seconds, and callers that retry within it are rejected again, for good.
+// Their retry is delayed up to MaxRetryAfter.
+func retryAfter(expected time.Duration, c Constraints, rejectionRate float64) time.Duration {
+	latest := MaxRetryAfter(c.Remaining)
+	earliest := min(expected-max(0, c.Objective), latest)
+	sustained := rejectionRate / sustainedRejectionRate
+	return earliest + scale(min(1, sustained*sustained), latest-earliest)
 }
 
-// LatestReturn is when a refused caller returns at the latest, by the time that it has
-// left.
-func MaxRetryAfter(left time.Duration) time.Duration { return part(maxRetryPart, left) }
+// MaxRetryAfter returns the longest retry delay for a rejected caller with this much
+// time remaining.
+func MaxRetryAfter(remaining time.Duration) time.Duration { return scale(maxRetryFraction, remaining) }
 
-func part(of float64, d time.Duration) time.Duration {
-	return time.Duration(of * float64(d))
+func scale(factor float64, d time.Duration) time.Duration {
+	return time.Duration(factor * float64(d))
 }
--- a/internal/decide/place/answer.go
+++ b/internal/decide/place/answer.go
@@ -7,55 +7,57 @@
 	"pistachioroad.dev/pistachioroad/internal/request"
 )
 
-// answerCost is what it costs to generate an answer at an engine: the chance that
-// it misses its deadline there, which is also returned by itself, and the same for
-// the answers that are there and that it delays. One that misses its deadline costs its
-// caller all of the wait.
+// answerCost returns the cost of generating an answer at an engine, and the probability
+// that it misses its deadline there. The cost is that probability, times the remaining
+// time, since a missed deadline costs the caller the whole wait, plus the same for the
+// answers there that it delays.
 //
-// Long answers need the engines whose tokens come fastest, while short ones end in
-// time anywhere. Spread by the number of streams, the longest answers of slow or
-// crowded engines are cut by their deadlines.
-func (f *Fleet) answerCost(now time.Time, j Job, u Constraints, e *engine) (cost time.Duration, miss float64) {
-	if j.Prompt.Output <= 0 || !f.answersKnown() {
+// Long answers need the engines with the shortest inter-event times, while short ones
+// finish in time anywhere. If answers were spread by the number of streams, the longest
+// ones on slow or crowded engines would be cut off by their deadlines.
+func (f *Fleet) answerCost(now time.Time, j Job, c Constraints, e *engine) (cost time.Duration, miss float64) {
+	if j.Prompt.Output <= 0 || !f.decodeCalibrated() {
 		return 0, 0
 	}
-	added := predict.DecodeBatch{PromptTokens: float64(f.context(j.Prompt))}
-	between := e.between(e.running(now).Plus(added))
+	added := predict.DecodeBatch{PromptTokens: float64(f.contextTokens(j.Prompt))}
+	interEvent := e.interEventTime(e.decodeBatch(now).Plus(added))
 	answer := answerOf(j.Prompt)
-	takes := f.lengths.RemainingTime(answer, between)
-	miss = f.lengths.MissProbability(answer, between, u.Remaining)
-	added.TotalAge = takes / 2
-	slower := float64(e.between(added)-e.between(predict.DecodeBatch{})) / float64(between)
-	return part(miss, u.Remaining) + e.delayCost(part(slower, takes)), miss
+	duration := f.answerLengths.RemainingTime(answer, interEvent)
+	miss = f.answerLengths.MissProbability(answer, interEvent, c.Remaining)
+	added.TotalAge = duration / 2
+	slowdown := float64(e.interEventTime(added)-e.interEventTime(predict.DecodeBatch{})) / float64(interEvent)
+	return scale(miss, c.Remaining) + e.delayCost(scale(slowdown, duration)), miss
 }
 
-// answerOf is what is known of a prompt's answer.
+// answerOf returns what is known of a prompt's answer.
 func answerOf(p request.Prompt) predict.Answer {
 	return predict.Answer{HintTokens: p.Output, EventsDone: p.Done}
 }
 
-// context is how many tokens an engine needs before it goes on with an answer: the
-// prompt, and what was generated of the answer elsewhere.
-func (f *Fleet) context(p request.Prompt) int { return p.Tokens + f.lengths.Tokens(p.Done) }
+// contextTokens returns how many tokens an engine needs in its KV cache before it
+// continues an answer: the prompt, and what was generated of the answer elsewhere.
+func (f *Fleet) contextTokens(p request.Prompt) int { return p.Tokens + f.answerLengths.Tokens(p.Done) }
 
-// answersKnown reports whether enough was seen to compare engines by the answers
-// they generate. An engine of which nothing is known then counts as an average one:
-// if it cost nothing, all entries would crowd it with long answers.
-func (f *Fleet) answersKnown() bool { return f.lengths.Calibrated() && f.steps.Calibrated() }
+// decodeCalibrated reports whether there are enough samples to compare engines by the
+// answers they generate. An engine without samples then counts as an average one: if it
+// cost nothing, all gateways would crowd it with long answers.
+func (f *Fleet) decodeCalibrated() bool {
+	return f.answerLengths.Calibrated() && f.interEventModel.Calibrated()
+}
 
-// delayCost is what it costs to delay all streams of an engine by d.
-func (e *engine) delayCost(d time.Duration) time.Duration { return part(e.risk, d) }
+// delayCost returns the cost of delaying all streams of an engine by d.
+func (e *engine) delayCost(d time.Duration) time.Duration { return scale(e.delayCostRate, d) }
 
-// between is the expected time between two events of a stream.
-func (e *engine) between(r predict.DecodeBatch) time.Duration {
-	return part(e.generating.Slowdown(), e.steps.InterEventTime(r))
+// interEventTime returns the expected time between two events of a stream.
+func (e *engine) interEventTime(b predict.DecodeBatch) time.Duration {
+	return scale(e.decodeSpeed.Slowdown(), e.interEventModel.InterEventTime(b))
 }
 
-// riskOf is how much it costs to delay an answer that begins at an engine, as a
-// part of the delay.
-func (f *Fleet) riskOf(now time.Time, e *engine, answer predict.Answer, left time.Duration) float64 {
-	if answer.HintTokens <= 0 || !f.answersKnown() {
+// streamDelayCostRate returns the cost of delaying an answer that starts at an engine,
+// per unit of delay.
+func (f *Fleet) streamDelayCostRate(now time.Time, e *engine, answer predict.Answer, remaining time.Duration) float64 {
+	if answer.HintTokens <= 0 || !f.decodeCalibrated() {
 		return 0
 	}
-	return f.lengths.MissSensitivity(answer, e.between(e.running(now)), left)
+	return f.answerLengths.MissSensitivity(answer, e.interEventTime(e.decodeBatch(now)), remaining)
 }
--- a/internal/decide/place/arrivals.go
+++ b/internal/decide/place/arrivals.go
@@ -7,38 +7,38 @@
 	"pistachioroad.dev/pistachioroad/internal/decide/predict"
 )
 
-// arrivalsHalfLife is how long it takes an arrival to count half.
-const arrivalsHalfLife = time.Second
+// arrivalRateHalfLife is the half-life of an arrival's weight.
+const arrivalRateHalfLife = time.Second
 
-// arrivals is how often something has come lately.
-type arrivals struct {
-	count float64
-	at    time.Time
+// arrivalRate is an exponentially decayed count of arrivals.
+type arrivalRate struct {
+	count     float64
+	decayedAt time.Time
 }
 
-func (a *arrivals) add(now time.Time) {
-	a.fade(now)
+func (a *arrivalRate) add(now time.Time) {
+	a.decay(now)
 	a.count++
 }
 
-func (a *arrivals) fade(now time.Time) {
-	if passed := now.Sub(a.at); passed > 0 {
-		a.count *= predict.DecayFactor(passed, arrivalsHalfLife)
-		a.at = now
+func (a *arrivalRate) decay(now time.Time) {
+	if elapsed := now.Sub(a.decayedAt); elapsed > 0 {
+		a.count *= predict.DecayFactor(elapsed, arrivalRateHalfLife)
+		a.decayedAt = now
 	}
 }
 
-// perSecond returns how often a second it comes.
-func (a *arrivals) perSecond(now time.Time) float64 {
-	a.fade(now)
-	return a.count * math.Ln2 / arrivalsHalfLife.Seconds()
+// perSecond returns the arrivals per second.
+func (a *arrivalRate) perSecond(now time.Time) float64 {
+	a.decay(now)
+	return a.count * math.Ln2 / arrivalRateHalfLife.Seconds()
 }
 
-// handoverCost is what a read at an engine that generates costs the answers that are
-// handed over to it until the read ends: by how much it delays the first token of each.
+// handoverCost returns what a prefill at a decode engine costs the answers handed over
+// to it until the prefill ends: the sum of the delays of their first tokens.
 func (f *Fleet) handoverCost(now time.Time, e *engine, p Plan) time.Duration {
-	// Those that come while the prompt waits are delayed by all of the read, those that
-	// come while it is read by half of it on average.
+	// Handovers that arrive while the prompt is queued are delayed by the whole
+	// prefill, those that arrive during the prefill by half of it on average.
 	delayed := e.handovers.perSecond(now) * (p.QueueDelay + p.PrefillTime/2).Seconds()
-	return part(delayed, f.handover.BacklogDelay(p.PrefillTime))
+	return scale(delayed, f.handoverModel.BacklogDelay(p.PrefillTime))
 }
--- a/internal/decide/place/cache.go
+++ b/internal/decide/place/cache.go
@@ -6,67 +6,67 @@
 	"pistachioroad.dev/pistachioroad/internal/request"
 )
 
-// cache is the guess of what an engine keeps of prompts: the parts sent there,
-// least recently used first to go.
-type cache struct {
+// prefixCache is an estimate of the prompt segments that an engine has cached: those
+// sent there, evicted least recently used first.
+type prefixCache struct {
 	tokens, limit int
-	parts         map[uint64]*list.Element
-	// recent has the parts in order of use, the newest first.
-	recent *list.List
+	segments      map[uint64]*list.Element
+	// lru has the segments in order of use, most recent first.
+	lru *list.List
 }
 
-type cachedPart struct {
+type cachedSegment struct {
 	id     uint64
 	tokens int
 }
 
-func newCache(limit int) *cache {
-	return &cache{limit: limit, parts: make(map[uint64]*list.Element), recent: list.New()}
+func newPrefixCache(limit int) *prefixCache {
+	return &prefixCache{limit: limit, segments: make(map[uint64]*list.Element), lru: list.New()}
 }
 
-// leading returns how many tokens of the prompt are kept. A part counts only if
-// all parts before it are kept too.
-func (c *cache) leading(parts []request.Segment) int {
+// cachedPrefix returns how many leading tokens of the prompt are cached. A segment
+// counts only if all segments before it are cached too.
+func (c *prefixCache) cachedPrefix(segments []request.Segment) int {
 	tokens := 0
-	for _, p := range parts {
-		if _, ok := c.parts[p.ID]; !ok {
+	for _, s := range segments {
+		if _, ok := c.segments[s.ID]; !ok {
 			break
 		}
-		tokens += p.Tokens
+		tokens += s.Tokens
 	}
 	return tokens
 }
 
-// use notes that the engine reads or fetches the parts, and returns those that it
-// did not keep before.
-func (c *cache) use(parts []request.Segment) (added []request.Segment) {
-	for _, p := range parts {
-		if e, ok := c.parts[p.ID]; ok {
-			c.recent.MoveToFront(e)
+// touch records that the engine prefills or fetches the segments, and returns those
+// that were not cached before.
+func (c *prefixCache) touch(segments []request.Segment) (added []request.Segment) {
+	for _, s := range segments {
+		if e, ok := c.segments[s.ID]; ok {
+			c.lru.MoveToFront(e)
 			continue
 		}
-		c.parts[p.ID] = c.recent.PushFront(cachedPart{id: p.ID, tokens: p.Tokens})
-		c.tokens += p.Tokens
-		added = append(added, p)
+		c.segments[s.ID] = c.lru.PushFront(cachedSegment{id: s.ID, tokens: s.Tokens})
+		c.tokens += s.Tokens
+		added = append(added, s)
 	}
-	for c.tokens > c.limit && c.recent.Len() > 0 {
-		c.remove(c.recent.Back())
+	for c.tokens > c.limit && c.lru.Len() > 0 {
+		c.remove(c.lru.Back())
 	}
 	return added
 }
 
-// drop notes that the engine does not keep the parts.
-func (c *cache) drop(parts []request.Segment) {
-	for _, p := range parts {
-		if e, ok := c.parts[p.ID]; ok {
+// drop records that the engine has not cached the segments.
+func (c *prefixCache) drop(segments []request.Segment) {
+	for _, s := range segments {
+		if e, ok := c.segments[s.ID]; ok {
 			c.remove(e)
 		}
 	}
 }
 
-func (c *cache) remove(e *list.Element) {
-	p := e.Value.(cachedPart)
-	c.recent.Remove(e)
-	delete(c.parts, p.id)
-	c.tokens -= p.tokens
+func (c *prefixCache) remove(e *list.Element) {
+	s := e.Value.(cachedSegment)
+	c.lru.Remove(e)
+	delete(c.segments, s.id)
+	c.tokens -= s.tokens
 }
--- a/internal/decide/place/engine.go
+++ b/internal/decide/place/engine.go
@@ -10,205 +10,207 @@
 	"pistachioroad.dev/pistachioroad/internal/invariant"
 )
 
-// Engine is a model engine that may get work.
+// Engine is a model engine that requests may be placed on.
 type Engine struct {
 	ID         string
 	DataCentre string
 	Role       backend.Role
-	// KVTokens is the size of its KV cache.
+	// KVTokens is the capacity of its KV cache.
 	KVTokens int
-	// Slots is how many requests it runs at once.
+	// Slots is how many requests it runs concurrently.
 	Slots int
-	// Incarnation tells starts apart: another one has an empty cache.
+	// Incarnation distinguishes the starts of an engine: after a restart its cache is
+	// empty.
 	Incarnation int64
 }
 
-// engine is an Engine with the work that is on its way to it.
+// engine is an Engine with the requests placed on it.
 type engine struct {
 	Engine
-	// hash is that of the id.
+	// hash is the hash of the ID.
 	hash  uint64
-	cache *cache
-	// reading is what is believed of reads by the engines in its role, speed
-	// what is believed of this one.
-	reading *predict.PrefillModel
-	speed   predict.EngineSpeed
-	// queue has the prompts that it has to read.
+	cache *prefixCache
+	// prefillModel predicts the prefills of all engines in its role, prefillSpeed how
+	// much slower or faster this one is.
+	prefillModel *predict.PrefillModel
+	prefillSpeed predict.EngineSpeed
+	// queue has the prompts that it has to prefill.
 	queue queue
-	// since is since when the first of them has been read.
-	since time.Time
-	// handovers are the answers that it got lately whose prompts others read.
-	handovers arrivals
-	// streams counts the requests that it generates tokens for, tokens are those of
-	// their prompts, and began is when they began on average.
-	streams int
-	tokens  int
-	began   time.Time
-	// steps is what is believed of the time between two events of a stream,
-	// generating what is believed of this engine's.
-	steps      *predict.DecodeModel
-	generating predict.EngineSpeed
-	// risk is what it costs to delay all streams, as a part of the delay.
-	risk float64
-	// avoidUntil keeps an engine out that failed.
+	// prefillingSince is when it started on the first of them.
+	prefillingSince time.Time
+	// handovers is the rate of answers handed over to it from prefill engines.
+	handovers arrivalRate
+	// streams is the number of requests that it generates answers for, contextTokens
+	// the sum of their contexts, and meanStreamStart the mean of their start times.
+	streams         int
+	contextTokens   int
+	meanStreamStart time.Time
+	// interEventModel predicts the time between two events of a stream, decodeSpeed how
+	// much slower or faster this engine is.
+	interEventModel *predict.DecodeModel
+	decodeSpeed     predict.EngineSpeed
+	// delayCostRate is the cost of delaying all streams, per unit of delay.
+	delayCostRate float64
+	// avoidUntil is until when an engine that failed is avoided.
 	avoidUntil time.Time
 }
 
-// EngineHash is the short name of an engine between entries.
+// EngineHash returns the short identifier of an engine in messages between gateways.
 func EngineHash(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
 
 func newEngine(e Engine) *engine {
-	return &engine{Engine: e, hash: xxhash.Sum64String(e.ID), cache: newCache(e.KVTokens)}
+	return &engine{Engine: e, hash: xxhash.Sum64String(e.ID), cache: newPrefixCache(e.KVTokens)}
 }
 
-// cost is how long the engine is busy with work.
-func (e *engine) cost(w predict.PrefillWork) time.Duration {
-	return time.Duration(e.speed.Slowdown() * float64(e.reading.ComputeTime(w)))
+// prefillTime returns how long the engine takes for prefill work.
+func (e *engine) prefillTime(w predict.PrefillWork) time.Duration {
+	return time.Duration(e.prefillSpeed.Slowdown() * float64(e.prefillModel.ComputeTime(w)))
 }
 
-// overdueAfter is how many times the longest read may last beyond what is
-// expected of it before its engine counts as standing still.
-const overdueAfter = 1.0
+// stallFactor is by how many times its expected duration the largest prefill may be
+// overdue before its engine counts as stalled.
+const stallFactor = 1.0
 
-// wait is how long a new prompt waits for those before it.
+// queueDelay returns how long a new prompt waits for those before it.
 //
-// The end of a read is known later than it is: the answer travels. So the time
-// since the last known end goes through all reads and not only the first. If
-// even the longest of them should have ended, the engine hangs or turned slow
-// and nothing passes any more: it is expected to take as long again as it is
-// overdue. Without that, an engine that fell silent looks as busy as any other,
-// and each gateway sends it prompts until its first time-out.
-func (e *engine) wait(now time.Time) time.Duration {
+// The end of a prefill is only known after the network latency. So the time since the
+// last known end counts against all prefills and not only the first. If even the
+// largest of them should have ended, the engine is stalled or has slowed down: it is
+// expected to need its whole queue time and, once more, the time by which it is
+// overdue. Otherwise an unresponsive engine would look as busy as any other, and each
+// gateway would send it prompts until its first time-out.
+func (e *engine) queueDelay(now time.Time) time.Duration {
 	if e.queue.empty() {
 		return 0
 	}
-	total := e.cost(e.queue.work)
-	if overdue, hangs := e.overdue(now); hangs {
+	total := e.prefillTime(e.queue.work)
+	if overdue, stalled := e.overdue(now); stalled {
 		return total + overdue
 	}
-	return max(0, total-max(0, now.Sub(e.since)))
+	return max(0, total-max(0, now.Sub(e.prefillingSince)))
 }
 
-// overdue is by how much the engine's last sign is overdue, and whether it
-// counts as standing still.
+// overdue returns by how much the engine's next prefill completion is overdue, and
+// whether the engine counts as stalled.
 func (e *engine) overdue(now time.Time) (time.Duration, bool) {
 	if e.queue.empty() {
 		return 0, false
 	}
-	longest := e.cost(e.queue.longest) + e.reading.FixedLatency()
-	overdue := now.Sub(e.since) - longest
-	return overdue, overdue > time.Duration(overdueAfter*float64(longest))
+	expected := e.prefillTime(e.queue.largest) + e.prefillModel.FixedLatency()
+	overdue := now.Sub(e.prefillingSince) - expected
+	return overdue, overdue > time.Duration(stallFactor*float64(expected))
 }
 
-// taken is the part of the engine's slots that streams take; 0 if it is not
-// known how many it has.
-func (e *engine) taken() float64 {
+// slotUtilization returns the fraction of the engine's slots taken by streams; 0 if the
+// number of slots is unknown.
+func (e *engine) slotUtilization() float64 {
 	if e.Slots == 0 {
 		return 0
 	}
 	return float64(e.streams) / float64(e.Slots)
 }
 
-// startStream notes that the engine generates for a prompt.
+// startStream records that the engine generates an answer with a context of this size.
 func (e *engine) startStream(now time.Time, tokens int) {
 	e.streams++
-	e.tokens += tokens
+	e.contextTokens += tokens
 	if e.streams == 1 {
-		e.began = now
+		e.meanStreamStart = now
 		return
 	}
-	e.began = e.began.Add(now.Sub(e.began) / time.Duration(e.streams))
+	e.meanStreamStart = e.meanStreamStart.Add(now.Sub(e.meanStreamStart) / time.Duration(e.streams))
 }
 
-// endStream notes the end of a stream that began at a moment.
-func (e *engine) endStream(began time.Time, tokens int) {
+// endStream records the end of a stream that began at the given time.
+func (e *engine) endStream(start time.Time, tokens int) {
 	e.streams--
-	e.tokens -= tokens
+	e.contextTokens -= tokens
 	invariant.Check(e.streams >= 0, "streams_not_negative", "engine %s has %d streams", e.ID, e.streams)
 	if e.streams == 0 {
-		e.risk = 0
+		e.delayCostRate = 0
 		return
 	}
-	e.began = e.began.Add(e.began.Sub(began) / time.Duration(e.streams))
+	e.meanStreamStart = e.meanStreamStart.Add(e.meanStreamStart.Sub(start) / time.Duration(e.streams))
 }
 
-// running is what the engine generates for.
-func (e *engine) running(now time.Time) predict.DecodeBatch {
-	return predict.DecodeBatch{PromptTokens: float64(e.tokens), TotalAge: time.Duration(e.streams) * max(0, now.Sub(e.began))}
+// decodeBatch returns the answers that the engine generates concurrently.
+func (e *engine) decodeBatch(now time.Time) predict.DecodeBatch {
+	return predict.DecodeBatch{PromptTokens: float64(e.contextTokens), TotalAge: time.Duration(e.streams) * max(0, now.Sub(e.meanStreamStart))}
 }
 
-// event learns from the time between two events of a stream.
-func (e *engine) event(now time.Time, gap time.Duration) {
-	r := e.running(now)
-	slowness := e.generating.Slowdown()
-	if e.steps.Calibrated() {
-		e.generating.Observe(e.between(r), gap)
+// observeInterEventTime learns from the time between two events of a stream.
+func (e *engine) observeInterEventTime(now time.Time, gap time.Duration) {
+	batch := e.decodeBatch(now)
+	slowdown := e.decodeSpeed.Slowdown()
+	if e.interEventModel.Calibrated() {
+		e.decodeSpeed.Observe(e.interEventTime(batch), gap)
 	}
-	e.steps.Observe(r, slowness, gap)
+	e.interEventModel.Observe(batch, slowdown, gap)
 }
 
-// full reports whether a new stream would have to wait for a slot.
-func (e *engine) full() bool { return e.Slots > 0 && e.streams >= e.Slots }
-
-// add notes a read that begins its way to the engine.
-func (e *engine) add(now time.Time, r *read) {
-	_, hangs := e.overdue(now)
-	r.poisoned = e.full() || hangs
-	r.before = r.work
-	wait := e.wait(now)
-	if total := e.cost(e.queue.work); total > 0 {
-		left := min(1, float64(wait)/float64(total))
-		r.before = e.queue.work.Scale(left).Plus(r.work)
+// slotsFull reports whether a new stream would have to wait for a slot.
+func (e *engine) slotsFull() bool { return e.Slots > 0 && e.streams >= e.Slots }
+
+// addPrefill records a prefill that is being sent to the engine.
+func (e *engine) addPrefill(now time.Time, p *prefill) {
+	_, stalled := e.overdue(now)
+	p.unrepresentative = e.slotsFull() || stalled
+	p.cumulativeWork = p.work
+	delay := e.queueDelay(now)
+	if total := e.prefillTime(e.queue.work); total > 0 {
+		fraction := min(1, float64(delay)/float64(total))
+		p.cumulativeWork = e.queue.work.Scale(fraction).Plus(p.work)
 	}
-	r.expected = wait + e.cost(r.work) + e.reading.FixedLatency()
+	p.expectedTime = delay + e.prefillTime(p.work) + e.prefillModel.FixedLatency()
 	if e.queue.empty() {
-		e.since = now
+		e.prefillingSince = now
 	}
-	e.queue.add(r)
+	e.queue.add(p)
 }
 
-// done notes the end of a read and learns from it.
+// prefillDone records the end of a prefill and learns from it.
 //
-// A read that waited for something else than the engine's speed tells nothing of
-// that, but while nothing is known it is all there is to learn from: otherwise the
-// engines of a role that all hang or are full stay unknown, and as nobody is refused
-// by what is not known, they are sent prompts without bound and stay that way.
-func (e *engine) done(now time.Time, id JobID) {
-	r := e.remove(now, id)
-	if r == nil {
+// A prefill that waited for something other than the engine's speed is no sample of
+// that speed, but is used until the model is calibrated. Otherwise the engines of a
+// role that are all stalled or full would stay uncalibrated, and since uncalibrated
+// estimates reject no request, they would be sent prompts without bound and never
+// recover.
+func (e *engine) prefillDone(now time.Time, id JobID) {
+	p := e.removePrefill(now, id)
+	if p == nil {
 		return
 	}
-	took := now.Sub(r.sent)
-	if r.poisoned || e.full() {
-		if !e.reading.Calibrated() {
-			e.reading.Observe(r.before, 1, took)
+	took := now.Sub(p.sentAt)
+	if p.unrepresentative || e.slotsFull() {
+		if !e.prefillModel.Calibrated() {
+			e.prefillModel.Observe(p.cumulativeWork, 1, took)
 		}
 		return
 	}
-	if e.reading.Calibrated() {
-		e.speed.Observe(r.expected, took)
+	if e.prefillModel.Calibrated() {
+		e.prefillSpeed.Observe(p.expectedTime, took)
 	}
-	e.reading.Observe(r.before, e.speed.Slowdown(), took)
+	e.prefillModel.Observe(p.cumulativeWork, e.prefillSpeed.Slowdown(), took)
 }
 
-// remove drops a read and returns it. The engine went on with the rest while the
-// answer travelled.
-func (e *engine) remove(now time.Time, id JobID) *read {
-	r := e.queue.remove(id)
-	if r == nil {
+// removePrefill removes a prefill and returns it. The engine started on the next one
+// while the reply was in transit.
+func (e *engine) removePrefill(now time.Time, id JobID) *prefill {
+	p := e.queue.remove(id)
+	if p == nil {
 		return nil
 	}
-	e.since = now.Add(-e.reading.FixedLatency())
-	if next := e.queue.oldest(); next != nil && next.sent.After(e.since) {
-		e.since = next.sent
+	e.prefillingSince = now.Add(-e.prefillModel.FixedLatency())
+	if next := e.queue.oldest(); next != nil && next.sentAt.After(e.prefillingSince) {
+		e.prefillingSince = next.sentAt
 	}
-	return r
+	return p
 }
 
-// expire drops reads that never ended: their process was lost, or the message
-// about their end was.
-func (e *engine) expire(now time.Time) {
+// expirePrefills removes prefills whose end was never reported: their gateway was lost,
+// or the message about their end was.
+func (e *engine) expirePrefills(now time.Time) {
 	if e.queue.expire(now) {
-		e.since = now
+		e.prefillingSince = now
 	}
 }
--- a/internal/decide/place/job.go
+++ b/internal/decide/place/job.go
@@ -7,175 +7,178 @@
 	"pistachioroad.dev/pistachioroad/internal/request"
 )
 
-// job remembers where a placed request's work is. It points at engines and not
-// at their ids: the end of a job must not lower the work of a later start.
+// job is a request placed on engines. It has pointers to engines instead of their IDs:
+// the end of a job must not lower the load of a restarted engine.
 type job struct {
-	// reader and decoder are nil if the engine was not known.
-	reader, decoder *engine
-	reading         bool
-	// readAt is when the read ended, zero if the end was not seen here or the
-	// answer moved to another decoder since.
-	readAt time.Time
-	// added are the parts that reader is thought to keep since this job was placed,
-	// and handedOver those that decoder keeps once they are read.
-	added, handedOver []request.Segment
-	// transfer is what the plan allows for the transfer of KV cache, and backlog
-	// what the decoder had to read itself when the prompt's read ended.
-	transfer, backlog time.Duration
-	// tokens are its context's when it was placed, and began is when its stream was
-	// counted at decoder.
-	tokens int
-	began  time.Time
-	// answer is what is known of the answer, and risk what it adds to decoder's.
-	answer predict.Answer
-	risk   float64
-	// until is when its caller leaves.
-	until time.Time
+	// prefillEngine and decodeEngine are nil if the engine was unknown.
+	prefillEngine, decodeEngine *engine
+	prefilling                  bool
+	// prefilledAt is when the prefill ended; zero if the end was not seen here or the
+	// answer has moved to another decode engine since.
+	prefilledAt time.Time
+	// addedSegments were added to prefillEngine's estimated cache by this job, and
+	// handoverSegments are added to decodeEngine's after the prefill.
+	addedSegments, handoverSegments []request.Segment
+	// kvTransfer is the planned KV transfer time, and handoverBacklog the queue delay
+	// at decodeEngine when the prefill ended.
+	kvTransfer, handoverBacklog time.Duration
+	// contextTokens is the size of its context at placement, and streamStart when its
+	// stream was counted at decodeEngine.
+	contextTokens int
+	streamStart   time.Time
+	// answer is what is known of the answer, and delayCostRate its share of
+	// decodeEngine's.
+	answer        predict.Answer
+	delayCostRate float64
+	// deadline is when its caller times out.
+	deadline time.Time
 }
 
-// Placed notes that a request goes where its plan says.
+// AddPlacement records that a request is placed as planned.
 func (f *Fleet) AddPlacement(now time.Time, p Placement) {
 	f.JobFinished(now, p.ID)
-	f.placed++
-	reader, ok := f.engines[p.Plan.PrefillEngine]
+	f.placementCount++
+	prefillEngine, ok := f.engines[p.Plan.PrefillEngine]
 	if !ok {
 		return
 	}
-	tokens := f.context(p.Prompt)
+	tokens := f.contextTokens(p.Prompt)
 	work := predict.NewPrefillWork(tokens, p.Plan.CachedTokens)
-	f.unread += unreadGain * (work.Tokens - f.unread)
-	reader.add(now, &read{job: p.ID, work: work, sent: now})
-	added := reader.cache.use(p.Prompt.Segments)
-	j := &job{reader: reader, reading: true, added: added, tokens: tokens, answer: answerOf(p.Prompt), until: now.Add(p.Remaining)}
+	f.meanPrefillTokens += meanPrefillGain * (work.Tokens - f.meanPrefillTokens)
+	prefillEngine.addPrefill(now, &prefill{job: p.ID, work: work, sentAt: now})
+	added := prefillEngine.cache.touch(p.Prompt.Segments)
+	j := &job{prefillEngine: prefillEngine, prefilling: true, addedSegments: added, contextTokens: tokens, answer: answerOf(p.Prompt), deadline: now.Add(p.Remaining)}
 	f.jobs[p.ID] = j
 	if d, ok := f.engines[p.Plan.DecodeEngine]; ok {
-		f.generateAt(now, j, d)
-		f.countMiss(now, d, j.answer, p.Remaining)
+		f.moveStream(now, j, d)
+		f.recordExpectedMiss(now, d, j.answer, p.Remaining)
 		if p.Plan.Split() {
-			j.handedOver = p.Prompt.Segments
+			j.handoverSegments = p.Prompt.Segments
 			d.handovers.add(now)
-			j.transfer = f.transferTime(p.Prompt, reader, d)
+			j.kvTransfer = f.kvTransferTime(p.Prompt, prefillEngine, d)
 		}
 	}
 }
 
-// Moved notes that another decoder than the planned one generates for a job.
-func (f *Fleet) SetDecodeEngine(now time.Time, id JobID, decoder string) {
+// SetDecodeEngine records that another engine than planned generates a job's answer.
+func (f *Fleet) SetDecodeEngine(now time.Time, id JobID, decodeEngine string) {
 	if j, ok := f.jobs[id]; ok {
-		f.generateAt(now, j, f.engines[decoder])
-		j.readAt = time.Time{}
-		if j.decoder != nil {
-			j.decoder.handovers.add(now)
-			j.decoder.cache.use(j.handedOver)
+		f.moveStream(now, j, f.engines[decodeEngine])
+		j.prefilledAt = time.Time{}
+		if j.decodeEngine != nil {
+			j.decodeEngine.handovers.add(now)
+			j.decodeEngine.cache.touch(j.handoverSegments)
 		}
 	}
 }
 
-// generateAt counts the job's stream at d, or nowhere if d is nil.
-func (f *Fleet) generateAt(now time.Time, j *job, d *engine) {
-	if j.decoder != nil {
-		j.decoder.risk = max(0, j.decoder.risk-j.risk)
-		j.decoder.endStream(j.began, j.tokens)
+// moveStream counts the job's stream at d, or nowhere if d is nil.
+func (f *Fleet) moveStream(now time.Time, j *job, d *engine) {
+	if j.decodeEngine != nil {
+		j.decodeEngine.delayCostRate = max(0, j.decodeEngine.delayCostRate-j.delayCostRate)
+		j.decodeEngine.endStream(j.streamStart, j.contextTokens)
 	}
-	j.decoder, j.began, j.risk = d, now, 0
+	j.decodeEngine, j.streamStart, j.delayCostRate = d, now, 0
 	if d != nil {
-		d.startStream(now, j.tokens)
-		j.risk = f.riskOf(now, d, j.answer, j.until.Sub(now))
-		d.risk += j.risk
+		d.startStream(now, j.contextTokens)
+		j.delayCostRate = f.streamDelayCostRate(now, d, j.answer, j.deadline.Sub(now))
+		d.delayCostRate += j.delayCostRate
 	}
 }
 
-// Event notes the time between two events of a job's stream.
+// ObserveInterEventTime learns from the time between two events of a job's stream.
 func (f *Fleet) ObserveInterEventTime(now time.Time, id JobID, gap time.Duration) {
-	if j, ok := f.jobs[id]; ok && j.decoder != nil {
-		j.decoder.event(now, gap)
+	if j, ok := f.jobs[id]; ok && j.decodeEngine != nil {
+		j.decodeEngine.observeInterEventTime(now, gap)
 	}
 }
 
-// Answered notes that a whole answer of a number of events has come.
-func (f *Fleet) ObserveAnswerLength(hint, events int) { f.lengths.Observe(hint, events) }
+// ObserveAnswerLength learns from a completed answer with a number of events.
+func (f *Fleet) ObserveAnswerLength(hint, events int) { f.answerLengths.Observe(hint, events) }
 
-// ReadDone notes that the prompt of another entry's job has been read, and learns from
-// it.
-func (f *Fleet) PrefillDone(now time.Time, id JobID) { f.readDone(now, id, &f.othersLag) }
+// PrefillDone records that the prompt of another gateway's job has been prefilled, and
+// learns from it.
+func (f *Fleet) PrefillDone(now time.Time, id JobID) { f.finishPrefill(now, id, &f.remoteLag) }
 
-// OwnReadDone notes that the prompt of a job of this entry has been read.
-func (f *Fleet) LocalPrefillDone(now time.Time, id JobID) { f.readDone(now, id, &f.ownLag) }
+// LocalPrefillDone records that the prompt of a job of this gateway has been prefilled,
+// and learns from it.
+func (f *Fleet) LocalPrefillDone(now time.Time, id JobID) { f.finishPrefill(now, id, &f.localLag) }
 
-// readDone notes the end of a read. What it took beyond what was expected is learned by
-// lag.
-func (f *Fleet) readDone(now time.Time, id JobID, lag *predict.PrefillLag) {
+// finishPrefill records the end of a prefill. lag learns from the time it took beyond
+// what was expected.
+func (f *Fleet) finishPrefill(now time.Time, id JobID, lag *predict.PrefillLag) {
 	j, ok := f.jobs[id]
-	if !ok || !j.reading {
+	if !ok || !j.prefilling {
 		return
 	}
-	if r := j.reader.queue.find(id); r != nil && j.reader.reading.Calibrated() {
-		lag.Observe(now, r.expected, now.Sub(r.sent))
+	if p := j.prefillEngine.queue.find(id); p != nil && j.prefillEngine.prefillModel.Calibrated() {
+		lag.Observe(now, p.expectedTime, now.Sub(p.sentAt))
 	}
-	j.reading = false
-	j.readAt = now
-	j.reader.done(now, id)
-	if j.decoder != nil {
-		j.decoder.cache.use(j.handedOver)
-		j.backlog = j.decoder.wait(now)
+	j.prefilling = false
+	j.prefilledAt = now
+	j.prefillEngine.prefillDone(now, id)
+	if j.decodeEngine != nil {
+		j.decodeEngine.cache.touch(j.handoverSegments)
+		j.handoverBacklog = j.decodeEngine.queueDelay(now)
 	}
 }
 
-// lag is what this entry adds to reads itself: by how much longer its own take than
-// expected, beyond what those of others do. What delays the reads of all is the engines',
-// and is no reason to refuse callers once they are idle.
-func (f *Fleet) lag(now time.Time) time.Duration {
-	return max(0, f.ownLag.Current(now)-f.othersLag.Current(now))
+// prefillLag returns the delay that this gateway itself adds to prefills: by how much
+// its own exceed their expected times, beyond what those of other gateways do. A delay
+// of all prefills is caused by the engines, and is no reason to reject callers once
+// these are idle.
+func (f *Fleet) prefillLag(now time.Time) time.Duration {
+	return max(0, f.localLag.Current(now)-f.remoteLag.Current(now))
 }
 
-// FirstToken notes that the first token of a job has come. It returns true if
-// that also was the first sign that its prompt has been read.
+// FirstToken records the first token of a job. It reports whether that was also the
+// first sign that its prompt has been prefilled.
 func (f *Fleet) FirstToken(now time.Time, id JobID) bool {
 	j, ok := f.jobs[id]
 	if !ok {
 		return false
 	}
-	if j.reading {
+	if j.prefilling {
 		f.LocalPrefillDone(now, id)
 		return true
 	}
-	if !j.readAt.IsZero() && j.decoder != nil && j.decoder != j.reader {
-		f.handover.Observe(j.backlog, max(0, now.Sub(j.readAt)-j.transfer))
+	if !j.prefilledAt.IsZero() && j.decodeEngine != nil && j.decodeEngine != j.prefillEngine {
+		f.handoverModel.Observe(j.handoverBacklog, max(0, now.Sub(j.prefilledAt)-j.kvTransfer))
 	}
-	j.readAt = time.Time{}
+	j.prefilledAt = time.Time{}
 	return false
 }
 
-// Ended notes that a job no longer works anywhere.
+// JobFinished records that a job no longer runs anywhere.
 func (f *Fleet) JobFinished(now time.Time, id JobID) {
 	j, ok := f.jobs[id]
 	if !ok {
 		return
 	}
-	if j.reading {
-		// The read failed or was given up; how long it took says nothing. If it did
-		// so before it can have ended, what was to be kept is not.
-		if r := j.reader.remove(now, id); r != nil && now.Sub(r.sent) < r.expected {
-			j.reader.cache.drop(j.added)
+	if j.prefilling {
+		// The prefill failed or was cancelled, so its duration is no sample. If that
+		// happened before it can have completed, its segments were not cached.
+		if p := j.prefillEngine.removePrefill(now, id); p != nil && now.Sub(p.sentAt) < p.expectedTime {
+			j.prefillEngine.cache.drop(j.addedSegments)
 		}
 	}
 	delete(f.jobs, id)
-	f.generateAt(now, j, nil)
+	f.moveStream(now, j, nil)
 }
 
-// forgetOverdue ends the jobs whose callers must have left. It answers lost ends:
-// the gateway that sent a job was killed, or the datagram about its end did not
-// arrive. Their streams would count at their decoders for good, so that the
-// engines that answer most seem the slowest; one notices by a state dump that
-// shows more work at an engine than it reports. A gateway ends each call at its
-// deadline, so that no job can run for longer.
-func (f *Fleet) forgetOverdue(now time.Time) {
-	if now.Sub(f.forgotten) < forgetEvery {
+// expireJobs ends the jobs whose callers must have timed out. It guards against lost
+// end messages: the gateway of a job was killed, or the datagram about its end was
+// lost. The stream would count at its decode engine forever, so that the engines with
+// the most answers look slowest. Symptom: a state dump shows more work at an engine
+// than it reports. A gateway ends each call at its deadline, so that no job can run for
+// longer.
+func (f *Fleet) expireJobs(now time.Time) {
+	if now.Sub(f.jobsExpiredAt) < jobExpiryInterval {
 		return
 	}
-	f.forgotten = now
+	f.jobsExpiredAt = now
 	for id, j := range f.jobs {
-		if now.After(j.until) {
+		if now.After(j.deadline) {
 			f.JobFinished(now, id)
 		}
 	}
--- a/internal/decide/place/misses.go
+++ b/internal/decide/place/misses.go
@@ -7,53 +7,53 @@
 )
 
 const (
-	// missesHalfLife is how long it takes what was placed to count half.
+	// missesHalfLife is the half-life of a placed answer's weight.
 	missesHalfLife = 5 * time.Second
-	// enoughAnswers is the events that answers placed lately must be expected to have
-	// for their misses to be known.
-	enoughAnswers = 1_000
+	// minPlacedEvents is how many events recently placed answers must be expected to
+	// have before their miss rate is known.
+	minPlacedEvents = 1_000
 )
 
-// misses is the events of the answers placed lately, and those of the answers that
-// are expected to miss their deadlines. Long answers count for more: they are the
-// first to miss them.
-type misses struct {
-	missed, all float64
-	at          time.Time
+// expectedMisses has the expected events of recently placed answers, and those of the
+// answers that are expected to miss their deadlines. Long answers count for more: they
+// are the first to miss them.
+type expectedMisses struct {
+	missed, total float64
+	decayedAt     time.Time
 }
 
-func (m *misses) add(now time.Time, events, miss float64) {
-	m.fade(now)
-	m.all += events
+func (m *expectedMisses) add(now time.Time, events, miss float64) {
+	m.decay(now)
+	m.total += events
 	m.missed += events * miss
 }
 
-func (m *misses) fade(now time.Time) {
-	if passed := now.Sub(m.at); passed > 0 {
-		left := predict.DecayFactor(passed, missesHalfLife)
-		m.all *= left
-		m.missed *= left
-		m.at = now
+func (m *expectedMisses) decay(now time.Time) {
+	if elapsed := now.Sub(m.decayedAt); elapsed > 0 {
+		factor := predict.DecayFactor(elapsed, missesHalfLife)
+		m.total *= factor
+		m.missed *= factor
+		m.decayedAt = now
 	}
 }
 
-// Misses returns the part of the answers, by length, that is expected to miss its
-// deadline at the engines that generate now; false while too few were placed.
+// ExpectedMissRate returns the fraction of the answers, by length, that is expected to
+// miss its deadline on the current decode engines; false while too few were placed.
 func (f *Fleet) ExpectedMissRate(now time.Time) (float64, bool) {
-	f.misses.fade(now)
-	if f.misses.all < enoughAnswers {
+	f.expectedMisses.decay(now)
+	if f.expectedMisses.total < minPlacedEvents {
 		return 0, false
 	}
-	return f.misses.missed / f.misses.all, true
+	return f.expectedMisses.missed / f.expectedMisses.total, true
 }
 
-// countMiss takes in the chance that an answer which begins at an engine misses its
-// deadline.
-func (f *Fleet) countMiss(now time.Time, e *engine, a predict.Answer, left time.Duration) {
-	if a.HintTokens <= 0 || !f.answersKnown() {
+// recordExpectedMiss adds the probability that an answer which starts at an engine
+// misses its deadline.
+func (f *Fleet) recordExpectedMiss(now time.Time, e *engine, a predict.Answer, remaining time.Duration) {
+	if a.HintTokens <= 0 || !f.decodeCalibrated() {
 		return
 	}
-	between := e.between(e.running(now))
-	events := float64(a.EventsDone) + float64(f.lengths.RemainingTime(a, between))/float64(max(1, between))
-	f.misses.add(now, events, f.lengths.MissProbability(a, between, left))
+	interEvent := e.interEventTime(e.decodeBatch(now))
+	events := float64(a.EventsDone) + float64(f.answerLengths.RemainingTime(a, interEvent))/float64(max(1, interEvent))
+	f.expectedMisses.add(now, events, f.answerLengths.MissProbability(a, interEvent, remaining))
 }
--- a/internal/decide/place/place.go
+++ b/internal/decide/place/place.go
@@ -1,13 +1,13 @@
-// Package place decides which model engine reads a prompt, which one generates
-// the answer, and whether the request is let in at all.
+// Package place decides which model engine prefills a prompt, which one generates the
+// answer, and whether the request is admitted.
 //
-// It answers long prompts that share parts, on engines that read at a bounded
-// rate. By the fewest requests in flight, a prompt goes where its shared parts
-// are not cached and half of all tokens read are read again; by cache alone, a
-// popular part makes one engine the queue of all. A Fleet therefore estimates
-// the time to the first token at each engine: the prompts that wait there, in
-// tokens and not in requests, and what the engine must read of this one. It is
-// pure code; time is passed in.
+// It places long prompts that share segments on engines with a limited prefill rate.
+// Least-requests balancing sends a prompt where its shared segments are not cached, and
+// half of all prefilled tokens are prefilled again; cache affinity alone queues all
+// requests for a popular segment at one engine. A Fleet therefore estimates the time to
+// first token at each engine: from the queued prompts, in tokens rather than requests,
+// and from what the engine must prefill of this one. The package is pure code; time is
+// passed in.
 package place
 
 import (
@@ -19,125 +19,133 @@
 )
 
 const (
-	// decodeSlowness is how many times as slowly an engine in the decode role
-	// reads, by the platform's protocol, until reads there were seen.
-	decodeSlowness = 2
-	// readTTL is how much longer than expected a read is believed in.
-	readTTL = 2 * time.Second
-	// forgetEvery spaces the passes over all jobs.
-	forgetEvery = time.Second
-	// priorHandover is the time from the end of a read to the first token from
-	// another engine, transfer aside, until one was seen: the call, the begin of
-	// a transfer and a step.
-	priorHandover = 15 * time.Millisecond
-	// otherDataCentre is how many times longer a transfer takes between data
+	// priorDecodeSlowdown is how many times as long a decode engine takes for a
+	// prefill, by the platform's protocol, until prefills there were observed.
+	priorDecodeSlowdown = 2
+	// prefillExpiry is by how much a prefill may exceed its expected time before it
+	// counts as lost.
+	prefillExpiry = 2 * time.Second
+	// jobExpiryInterval is the interval between passes over all jobs.
+	jobExpiryInterval = time.Second
+	// priorHandoverTime is the time from the end of a prefill to the first token from
+	// another engine, without the KV transfer, until one was observed: the call, the
+	// start of a transfer and a decode step.
+	priorHandoverTime = 15 * time.Millisecond
+	// crossDataCentreFactor is how many times as long a KV transfer takes between data
 	// centres, by the platform's protocol.
-	otherDataCentre = 2
-	// readWeight is how much an engine's read time counts beyond what it delays
-	// the request itself: it delays all that come after it.
-	readWeight = 4
-	// takenWeight is how much longer an engine with all slots taken counts to take
-	// for a first token than an idle one. With much more, transfers cross data
-	// centres for a few streams' difference.
-	takenWeight = 1
-	// shortPart is how much of the average is read of a short prompt at most.
-	shortPart = 0.1
-	// unreadGain is the part that each prompt adds to the average: a hundred count.
-	unreadGain = 0.01
+	crossDataCentreFactor = 2
+	// prefillWeight is the weight of an engine's prefill time in the cost of a plan,
+	// beyond the delay of the request itself: it delays all requests that come after
+	// it.
+	prefillWeight = 4
+	// slotUtilizationWeight is by what fraction the handover time is increased at an
+	// engine with all slots taken, compared with an idle one. With much more, KV
+	// transfers cross data centres for a difference of a few streams.
+	slotUtilizationWeight = 1
+	// shortPrefillFraction is the largest fraction of the mean prefill that counts as
+	// short.
+	shortPrefillFraction = 0.1
+	// meanPrefillGain is the EWMA weight of a prompt in the mean: a hundred count.
+	meanPrefillGain = 0.01
 )
 
-// JobID identifies a placed request among all entries.
+// JobID identifies a placed request across all gateways.
 type JobID uint64
 
 // Job is a request to place.
 type Job struct {
 	ID     JobID
 	Prompt request.Prompt
-	// DataCentre is the entry's.
+	// DataCentre is the gateway's.
 	DataCentre string
-	// Route is the name of the route that it came by.
+	// Route is the name of its route.
 	Route string
-	// Exclude names engines that refused or failed the request.
+	// Exclude reports whether an engine has rejected or failed the request.
 	Exclude func(id string) bool
-	// Group is the entry's.
+	// Group is the gateway's.
 	Group Group
-	// Suspect says that an engine has ended under the request: the next one may too,
-	// and all that runs there with it.
+	// Suspect is set if an engine terminated while it ran the request: the next one may
+	// too, with all requests that run there.
 	Suspect bool
 }
 
-// Plan says where a request goes.
+// Plan is the choice of engines for a request, with its expected latency and cost.
 type Plan struct {
-	// Reader reads the prompt. It is Decoder itself if no transfer is needed.
+	// PrefillEngine prefills the prompt. It is DecodeEngine itself if no KV transfer is
+	// needed.
 	PrefillEngine, DecodeEngine string
-	// Kept is what Reader is thought to keep of the prompt, in tokens.
+	// CachedTokens is how many tokens of the prompt PrefillEngine is estimated to have
+	// cached.
 	CachedTokens int
-	// Wait and Read make up the expected time to the first token, with Lag for what
-	// this entry adds itself, and Extra for the way, the transfer and the decoder.
+	// QueueDelay, PrefillTime, PrefillLag and Overhead add up to the expected time to
+	// first token. PrefillLag is what this gateway itself adds to prefills, Overhead the
+	// network latency, KV transfer and handover.
 	QueueDelay, PrefillTime, PrefillLag, Overhead time.Duration
-	// Answer is what it costs to generate the answer at Decoder, beside the first
-	// token: the chances that it and others there miss their deadlines, as a time.
-	// Admission does not rest on it.
+	// AnswerCost is the cost of generating the answer at DecodeEngine after the first
+	// token: the probabilities that it and other answers there miss their deadlines, as
+	// a time. Admission does not depend on it.
 	AnswerCost time.Duration
-	// Miss is the chance that the answer misses its deadline at Decoder.
+	// MissProbability is the probability that the answer misses its deadline at
+	// DecodeEngine.
 	MissProbability float64
-	// Short says that Reader has little to read of it compared to other prompts.
-	Short bool
-	// Learned says that the expectation rests on enough reads that were seen.
+	// ShortPrefill is set if PrefillEngine has little to prefill compared with other
+	// prompts.
+	ShortPrefill bool
+	// Calibrated is set if the expected time is based on enough observed prefills.
 	Calibrated bool
 }
 
-// Placement is a request that goes where its plan says.
+// Placement is a request that is placed as planned.
 type Placement struct {
 	ID     JobID
 	Prompt request.Prompt
 	Plan   Plan
-	// Left is how long its caller waits at most.
+	// Remaining is how long its caller waits at most.
 	Remaining time.Duration
 }
 
-// Expected is the expected time to the first token.
+// ExpectedTTFT returns the expected time to first token.
 func (p Plan) ExpectedTTFT() time.Duration {
 	return p.QueueDelay + p.PrefillTime + p.PrefillLag + p.Overhead
 }
 
-// Split reports whether one engine reads and another generates.
+// Split reports whether different engines prefill the prompt and generate the answer.
 func (p Plan) Split() bool { return p.PrefillEngine != p.DecodeEngine }
 
-// Fleet is the load of the engines of one service as this entry knows it. Its
-// methods are for one goroutine at a time.
+// Fleet tracks the load of the engines of one service as known to this gateway. It is
+// not safe for concurrent use.
 type Fleet struct {
-	engines map[string]*engine
-	order   []string
-	// readings are what is believed of reads, by the role of the engine.
-	readings map[backend.Role]*predict.PrefillModel
-	// handover is the time from the end of a read to the first token from
-	// another engine, transfer aside, over all engines.
-	handover *predict.HandoverModel
-	// steps is the time between two events of a stream.
-	steps *predict.DecodeModel
-	// lengths is how many events answers have.
-	lengths predict.LengthModel
-	// ownLag and othersLag are how much longer the reads of this entry and of others
-	// take than expected.
-	ownLag, othersLag predict.PrefillLag
-	// unread is how many tokens engines read of a prompt on average.
-	unread float64
-	// misses is which answers are expected to miss their deadlines.
-	misses misses
-	// refusals is the part of the requests that was refused lately.
-	refusals float64
-	// sizes is how prompts of each length fare.
+	engines   map[string]*engine
+	engineIDs []string
+	// prefillModels predict the time of prefills, by the role of the engine.
+	prefillModels map[backend.Role]*predict.PrefillModel
+	// handoverModel predicts the time from the end of a prefill to the first token from
+	// another engine, without the KV transfer, over all engines.
+	handoverModel *predict.HandoverModel
+	// interEventModel predicts the time between two events of a stream.
+	interEventModel *predict.DecodeModel
+	// answerLengths predicts how many events an answer has.
+	answerLengths predict.LengthModel
+	// localLag and remoteLag are by how much the prefills of this gateway and of others
+	// exceed their expected times.
+	localLag, remoteLag predict.PrefillLag
+	// meanPrefillTokens is how many tokens engines prefill of a prompt on average.
+	meanPrefillTokens float64
+	// expectedMisses tracks the answers that are expected to miss their deadlines.
+	expectedMisses expectedMisses
+	// rejectionRate is the fraction of recent requests that was rejected.
+	rejectionRate float64
+	// sizes tracks the admission of prompts by their length.
 	sizes sizesByRoute
-	// restored is what another process has learned of engines.
-	restored map[string]EngineSnapshot
-	// perToken is the transfer time of one token's KV cache.
-	perToken time.Duration
-	jobs     map[JobID]*job
-	// placed counts the jobs so far.
-	placed int64
-	// forgotten is when jobs were last looked through for overdue ones.
-	forgotten time.Time
+	// restoredEngines is what another process has learned of engines.
+	restoredEngines map[string]EngineSnapshot
+	// kvTransferPerToken is the transfer time of one token's KV cache.
+	kvTransferPerToken time.Duration
+	jobs               map[JobID]*job
+	// placementCount is the number of placements so far.
+	placementCount int64
+	// jobsExpiredAt is when overdue jobs were last looked for.
+	jobsExpiredAt time.Time
 }
 
 // NewFleet returns a Fleet without engines.
@@ -146,85 +154,85 @@
 		engines: make(map[string]*engine),
 		jobs:    make(map[JobID]*job),
 		sizes:   make(sizesByRoute),
-		readings: map[backend.Role]*predict.PrefillModel{
-			backend.Prefill: predict.NewPrefillModel(1), backend.Decode: predict.NewPrefillModel(decodeSlowness),
+		prefillModels: map[backend.Role]*predict.PrefillModel{
+			backend.Prefill: predict.NewPrefillModel(1), backend.Decode: predict.NewPrefillModel(priorDecodeSlowdown),
 		},
-		handover: predict.NewHandoverModel(priorHandover),
-		steps:    predict.NewDecodeModel(),
+		handoverModel:   predict.NewHandoverModel(priorHandoverTime),
+		interEventModel: predict.NewDecodeModel(),
 	}
 }
 
-// SetTransfer sets the time to move one token's KV cache.
-func (f *Fleet) SetKVTransferTime(perToken time.Duration) { f.perToken = perToken }
+// SetKVTransferTime sets the time to transfer one token's KV cache.
+func (f *Fleet) SetKVTransferTime(perToken time.Duration) { f.kvTransferPerToken = perToken }
 
-// SetEngines replaces the engines that may get work. One that stays keeps what
-// is known of it, unless it has started anew.
+// SetEngines replaces the engines that requests may be placed on. One that remains
+// keeps its state unless it has been restarted.
 func (f *Fleet) SetEngines(engines []Engine) {
 	old := f.engines
 	f.engines = make(map[string]*engine, len(engines))
-	f.order = f.order[:0]
+	f.engineIDs = f.engineIDs[:0]
 	for _, e := range engines {
-		f.order = append(f.order, e.ID)
-		was, ok := old[e.ID]
-		if !ok || was.Incarnation != e.Incarnation {
-			was = newEngine(e)
-			was.steps = f.steps
-			f.restoreEngine(was)
+		f.engineIDs = append(f.engineIDs, e.ID)
+		tracked, ok := old[e.ID]
+		if !ok || tracked.Incarnation != e.Incarnation {
+			tracked = newEngine(e)
+			tracked.interEventModel = f.interEventModel
+			f.restoreEngine(tracked)
 		}
-		was.Engine = e
-		was.reading = f.readingOf(e.Role)
-		was.cache.limit = e.KVTokens
-		f.engines[e.ID] = was
+		tracked.Engine = e
+		tracked.prefillModel = f.prefillModelFor(e.Role)
+		tracked.cache.limit = e.KVTokens
+		f.engines[e.ID] = tracked
 	}
 }
 
-// readingOf returns what is believed of reads by engines in a role. Those that
-// have no role read as those that generate: whatever they read, they answer.
-func (f *Fleet) readingOf(role backend.Role) *predict.PrefillModel {
+// prefillModelFor returns the model of prefills by engines in a role. Engines without a
+// role share that of decode engines: they too generate answers beside their prefills.
+func (f *Fleet) prefillModelFor(role backend.Role) *predict.PrefillModel {
 	if role == backend.Prefill {
-		return f.readings[backend.Prefill]
+		return f.prefillModels[backend.Prefill]
 	}
-	return f.readings[backend.Decode]
+	return f.prefillModels[backend.Decode]
 }
 
-// Plan chooses the engines for a job and says whether it is let in; false if
-// there is none that could run it. Engines of other groups, and then those to be
-// avoided, are used if there are no others.
-func (f *Fleet) Plan(now time.Time, j Job, u Constraints) (Plan, Admission, bool) {
-	f.forgetOverdue(now)
+// Plan chooses the engines for a job and decides on its admission; false if no engine
+// can run it. Engines of other groups, and then avoided ones, are used if there are no
+// others.
+func (f *Fleet) Plan(now time.Time, j Job, c Constraints) (Plan, Admission, bool) {
+	f.expireJobs(now)
 	for _, s := range planScopes {
-		if p, ok := f.plan(now, j, u, s); ok {
-			a := f.admitBySize(now, j, p, u, admit(p, u, f.refusals))
-			f.countRefusal(!a.Admit)
+		if p, ok := f.plan(now, j, c, s); ok {
+			a := f.admitBySize(now, j, p, c, admit(p, c, f.rejectionRate))
+			f.updateRejectionRate(!a.Admit)
 			return p, a, true
 		}
 	}
 	return Plan{}, Admission{}, false
 }
 
-// countRefusal takes the outcome of one request into the share of refusals.
-func (f *Fleet) countRefusal(refused bool) {
+// updateRejectionRate adds the outcome of one request to the rejection rate.
+func (f *Fleet) updateRejectionRate(rejected bool) {
 	value := 0.0
-	if refused {
+	if rejected {
 		value = 1
 	}
-	f.refusals += refusalGain * (value - f.refusals)
+	f.rejectionRate += rejectionRateGain * (value - f.rejectionRate)
 }
 
-func (f *Fleet) plan(now time.Time, j Job, u Constraints, s scope) (Plan, bool) {
+func (f *Fleet) plan(now time.Time, j Job, c Constraints, s scope) (Plan, bool) {
 	var best Plan
 	bestCost := time.Duration(-1)
-	decoders := f.decoders(now, j, u, s)
-	for _, id := range f.order {
+	candidates := f.decodeCandidates(now, j, c, s)
+	for _, id := range f.engineIDs {
 		e := f.engines[id]
-		if !e.usable(now, j, s) {
+		if !e.eligible(now, j, s) {
 			continue
 		}
-		p, ok := f.planWith(now, j, u, e, decoders)
+		p, ok := f.planPrefillOn(now, j, c, e, candidates)
 		if !ok {
 			continue
 		}
-		cost := p.ExpectedTTFT() + readWeight*p.PrefillTime + p.AnswerCost
+		cost := p.ExpectedTTFT() + prefillWeight*p.PrefillTime + p.AnswerCost
 		if bestCost < 0 || cost < bestCost {
 			best, bestCost = p, cost
 		}
@@ -232,71 +240,72 @@
 	return best, bestCost >= 0
 }
 
-func (e *engine) usable(now time.Time, j Job, s scope) bool {
-	if s == ownEngines && !j.Group.has(e.hash) {
+func (e *engine) eligible(now time.Time, j Job, s scope) bool {
+	if s == healthyInGroup && !j.Group.has(e.hash) {
 		return false
 	}
-	if s != allEngines && now.Before(e.avoidUntil) {
+	if s != anyEngine && now.Before(e.avoidUntil) {
 		return false
 	}
 	return j.Exclude == nil || !j.Exclude(e.ID)
 }
 
-// planWith is the plan in which reader reads.
-func (f *Fleet) planWith(now time.Time, j Job, u Constraints, reader *engine, decoders decoderChoice) (Plan, bool) {
-	reader.expire(now)
-	kept := reader.cache.leading(j.Prompt.Segments)
-	work := predict.NewPrefillWork(f.context(j.Prompt), kept)
+// planPrefillOn returns the plan in which prefillEngine prefills the prompt; false if
+// no engine can generate the answer.
+func (f *Fleet) planPrefillOn(now time.Time, j Job, c Constraints, prefillEngine *engine, candidates decodeCandidates) (Plan, bool) {
+	prefillEngine.expirePrefills(now)
+	cached := prefillEngine.cache.cachedPrefix(j.Prompt.Segments)
+	work := predict.NewPrefillWork(f.contextTokens(j.Prompt), cached)
 	p := Plan{
-		PrefillEngine: reader.ID,
-		DecodeEngine:  reader.ID,
-		CachedTokens:  kept,
-		QueueDelay:    reader.wait(now),
-		PrefillTime:   reader.cost(work),
-		PrefillLag:    f.lag(now),
-		Overhead:      reader.reading.FixedLatency(),
-		Short:         work.Tokens <= shortPart*f.unread,
-		Calibrated:    reader.reading.Calibrated(),
+		PrefillEngine: prefillEngine.ID,
+		DecodeEngine:  prefillEngine.ID,
+		CachedTokens:  cached,
+		QueueDelay:    prefillEngine.queueDelay(now),
+		PrefillTime:   prefillEngine.prefillTime(work),
+		PrefillLag:    f.prefillLag(now),
+		Overhead:      prefillEngine.prefillModel.FixedLatency(),
+		ShortPrefill:  work.Tokens <= shortPrefillFraction*f.meanPrefillTokens,
+		Calibrated:    prefillEngine.prefillModel.Calibrated(),
 	}
-	if reader.Role != backend.Prefill {
-		p.AnswerCost, p.MissProbability = f.answerCost(now, j, u, reader)
-		p.AnswerCost += reader.delayCost(p.PrefillTime) + f.handoverCost(now, reader, p) + harm(j, reader)
+	if prefillEngine.Role != backend.Prefill {
+		p.AnswerCost, p.MissProbability = f.answerCost(now, j, c, prefillEngine)
+		p.AnswerCost += prefillEngine.delayCost(p.PrefillTime) + f.handoverCost(now, prefillEngine, p) + terminationCost(j, prefillEngine)
 		return p, true
 	}
-	d, transfer, ok := decoders.bestFor(f, j, reader)
+	d, transfer, ok := candidates.bestFor(f, j, prefillEngine)
 	if !ok {
 		return p, false
 	}
 	p.DecodeEngine = d.ID
-	p.Overhead += transfer + d.handover
-	p.AnswerCost, p.MissProbability = d.answer, d.miss
+	p.Overhead += transfer + d.handoverTime
+	p.AnswerCost, p.MissProbability = d.answerCost, d.missProbability
 	return p, true
 }
 
-// Avoid keeps an engine out until a moment. It answers an engine that refuses,
-// fails or changes its role: it has nothing to do, so by its load alone it would
-// be the first choice of every entry, and each request would lose a try there.
+// Avoid excludes an engine until the given time. It guards against an engine that
+// rejects, fails or changes its role: it has no load, so that every gateway would
+// choose it first and each request would lose an attempt there.
 func (f *Fleet) Avoid(id string, until time.Time) {
 	if e, ok := f.engines[id]; ok && until.After(e.avoidUntil) {
 		e.avoidUntil = until
 	}
 }
 
-// Keeps notes parts that an engine said it keeps.
-func (f *Fleet) AddCachedSegments(id string, parts []request.Segment) {
+// AddCachedSegments records segments that an engine reported as cached.
+func (f *Fleet) AddCachedSegments(id string, segments []request.Segment) {
 	if e, ok := f.engines[id]; ok {
-		e.cache.use(parts)
+		e.cache.touch(segments)
 	}
 }
 
-// Requests returns how many placements there were.
-func (f *Fleet) Placements() int64 { return f.placed }
+// Placements returns how many requests have been placed.
+func (f *Fleet) Placements() int64 { return f.placementCount }
 
-// Work returns how many requests an engine reads or generates for.
+// InFlight returns how many requests an engine prefills or generates answers for.
 func (f *Fleet) InFlight(id string) int {
 	e, ok := f.engines[id]
 	if !ok {
 		return 0
 	}
-	return len(e.queue.reads) + e.streams
+	return len(e.queue.prefills) + e.streams
 }
--- a/internal/decide/place/queue.go
+++ b/internal/decide/place/queue.go
@@ -7,93 +7,93 @@
 	"pistachioroad.dev/pistachioroad/internal/decide/predict"
 )
 
-// read is one prompt that an engine reads.
-type read struct {
+// prefill is one prompt that an engine has to prefill.
+type prefill struct {
 	job  JobID
 	work predict.PrefillWork
-	// before is the work that stood before its end when it was sent, its own
-	// included, and expected how long it was to take.
-	before   predict.PrefillWork
-	expected time.Duration
-	sent     time.Time
-	// poisoned says that the time it takes tells nothing of the engine: it
-	// waits for a slot, or for an engine that hangs.
-	poisoned bool
+	// cumulativeWork is the work that was queued when it was sent, its own included,
+	// and expectedTime how long it was expected to take.
+	cumulativeWork predict.PrefillWork
+	expectedTime   time.Duration
+	sentAt         time.Time
+	// unrepresentative is set if its duration is no sample of the engine's speed: it
+	// waits for a slot, or the engine is stalled.
+	unrepresentative bool
 }
 
-// queue is the prompts that an engine has to read, oldest first.
+// queue is the prompts that an engine has to prefill, oldest first.
 type queue struct {
-	reads []*read
-	// work is that of all reads, longest that of the largest one.
-	work, longest predict.PrefillWork
+	prefills []*prefill
+	// work is the sum over all prefills, largest the work of the largest one.
+	work, largest predict.PrefillWork
 }
 
-func (q *queue) empty() bool { return len(q.reads) == 0 }
+func (q *queue) empty() bool { return len(q.prefills) == 0 }
 
-func (q *queue) oldest() *read {
+func (q *queue) oldest() *prefill {
 	if q.empty() {
 		return nil
 	}
-	return q.reads[0]
+	return q.prefills[0]
 }
 
-func (q *queue) add(r *read) {
-	q.reads = append(q.reads, r)
-	q.count(r)
+func (q *queue) add(p *prefill) {
+	q.prefills = append(q.prefills, p)
+	q.count(p)
 }
 
-func (q *queue) count(r *read) {
-	q.work = q.work.Plus(r.work)
-	if r.work.Tokens > q.longest.Tokens {
-		q.longest = r.work
+func (q *queue) count(p *prefill) {
+	q.work = q.work.Plus(p.work)
+	if p.work.Tokens > q.largest.Tokens {
+		q.largest = p.work
 	}
 }
 
-// recount adds the work up anew: differences of large and small numbers would
-// leave a rest.
+// recount recomputes the sums: subtracting from them would leave rounding errors.
 func (q *queue) recount() {
-	q.work, q.longest = predict.PrefillWork{}, predict.PrefillWork{}
-	for _, r := range q.reads {
-		q.count(r)
+	q.work, q.largest = predict.PrefillWork{}, predict.PrefillWork{}
+	for _, p := range q.prefills {
+		q.count(p)
 	}
 }
 
 func (q *queue) index(id JobID) int {
-	return slices.IndexFunc(q.reads, func(r *read) bool { return r.job == id })
+	return slices.IndexFunc(q.prefills, func(p *prefill) bool { return p.job == id })
 }
 
-func (q *queue) find(id JobID) *read {
+func (q *queue) find(id JobID) *prefill {
 	i := q.index(id)
 	if i < 0 {
 		return nil
 	}
-	return q.reads[i]
+	return q.prefills[i]
 }
 
-func (q *queue) remove(id JobID) *read {
+func (q *queue) remove(id JobID) *prefill {
 	i := q.index(id)
 	if i < 0 {
 		return nil
 	}
-	r := q.reads[i]
-	q.reads = append(q.reads[:i], q.reads[i+1:]...)
+	p := q.prefills[i]
+	q.prefills = append(q.prefills[:i], q.prefills[i+1:]...)
 	q.recount()
-	return r
+	return p
 }
 
-// expire drops reads that are readTTL overdue and reports whether there were any.
+// expire removes prefills that are overdue by prefillExpiry and reports whether there
+// were any.
 func (q *queue) expire(now time.Time) bool {
-	kept := q.reads[:0]
-	for _, r := range q.reads {
-		if now.Sub(r.sent) < r.expected+readTTL {
-			kept = append(kept, r)
+	remaining := q.prefills[:0]
+	for _, p := range q.prefills {
+		if now.Sub(p.sentAt) < p.expectedTime+prefillExpiry {
+			remaining = append(remaining, p)
 		}
 	}
-	if len(kept) == len(q.reads) {
+	if len(remaining) == len(q.prefills) {
 		return false
 	}
-	clear(q.reads[len(kept):])
-	q.reads = kept
+	clear(q.prefills[len(remaining):])
+	q.prefills = remaining
 	q.recount()
 	return true
 }
--- a/internal/decide/place/size.go
+++ b/internal/decide/place/size.go
@@ -7,122 +7,124 @@
 )
 
 const (
-	// leastShare is how often long prompts are to be let in at least, compared with all
-	// of their route. Half of all is owed to them.
-	leastShare = 0.55
-	// shareHalfLife is how long it takes what was decided to count half.
-	shareHalfLife = 20 * time.Second
-	// cutGain is the part of a length by which a prompt moves what counts as long, and
-	// by which a long one exceeds it: prompts of one length are not long.
-	cutGain = 0.05
-	// mostRoutes bounds the routes of which anything is kept.
-	mostRoutes = 1_024
+	// minAdmissionRatio is the minimum admission rate of long prompts relative to that
+	// of all prompts of their route. At least half is required.
+	minAdmissionRatio = 0.55
+	// admissionHalfLife is the half-life of the admission counts.
+	admissionHalfLife = 20 * time.Second
+	// thresholdGain is the fraction by which a prompt moves a length threshold, and by
+	// which a long prompt exceeds it: prompts of equal length are not long.
+	thresholdGain = 0.05
+	// maxRoutes limits the routes that are tracked.
+	maxRoutes = 1_024
 )
 
-// longParts are the parts of a route's prompts that are shorter than its long ones and
-// than its longest ones, which count by themselves.
-var longParts = [...]float64{0.65, 0.9}
+// longQuantiles are the quantiles of a route's prompt lengths above which prompts are
+// long and longest. Both classes are counted separately.
+var longQuantiles = [...]float64{0.65, 0.9}
 
-// share counts how many of some prompts were let in, those of late the most.
-type share struct{ asked, admitted float64 }
+// admissionCount counts requests and how many were admitted, with exponential decay.
+type admissionCount struct{ requests, admitted float64 }
 
-func (s *share) add(admitted bool) {
-	s.asked++
+func (s *admissionCount) add(admitted bool) {
+	s.requests++
 	if admitted {
 		s.admitted++
 	}
 }
 
-func (s *share) fade(left float64) {
-	s.asked *= left
-	s.admitted *= left
+func (s *admissionCount) decay(factor float64) {
+	s.requests *= factor
+	s.admitted *= factor
 }
 
-// routeSizes is what is known of the lengths of one route's prompts.
+// routeSizes tracks the prompt lengths of one route.
 type routeSizes struct {
-	// cuts are the lengths that longParts of the prompts do not exceed.
-	cuts [len(longParts)]float64
-	// all counts all prompts, long those between each cut and the next one.
-	all  share
-	long [len(longParts)]share
-	at   time.Time
+	// thresholds are the estimated longQuantiles of the prompt lengths.
+	thresholds [len(longQuantiles)]float64
+	// all counts all prompts, long those between each threshold and the next one.
+	all       admissionCount
+	long      [len(longQuantiles)]admissionCount
+	decayedAt time.Time
 }
 
-// class is the index of the highest cut below a length; -1 if there is none.
-func (r *routeSizes) class(tokens float64) int {
-	above := -1
-	for i, cut := range r.cuts {
-		if tokens > (1+cutGain)*cut {
-			above = i
+// sizeClass returns the index of the highest threshold below a length; -1 if there is
+// none.
+func (r *routeSizes) sizeClass(tokens float64) int {
+	class := -1
+	for i, threshold := range r.thresholds {
+		if tokens > (1+thresholdGain)*threshold {
+			class = i
 		}
 	}
-	return above
+	return class
 }
 
-// learn moves the cuts so that each has its part of the prompts below it.
-func (r *routeSizes) learn(tokens float64) {
-	for i, part := range longParts {
-		if tokens > r.cuts[i] {
-			r.cuts[i] *= 1 + cutGain*part
+// updateThresholds moves the thresholds toward their quantiles.
+func (r *routeSizes) updateThresholds(tokens float64) {
+	for i, quantile := range longQuantiles {
+		if tokens > r.thresholds[i] {
+			r.thresholds[i] *= 1 + thresholdGain*quantile
 		} else {
-			r.cuts[i] *= 1 - cutGain*(1-part)
+			r.thresholds[i] *= 1 - thresholdGain*(1-quantile)
 		}
 	}
 }
 
-func (r *routeSizes) fade(now time.Time) {
-	passed := now.Sub(r.at)
-	if passed <= 0 {
+func (r *routeSizes) decay(now time.Time) {
+	elapsed := now.Sub(r.decayedAt)
+	if elapsed <= 0 {
 		return
 	}
-	left := predict.DecayFactor(passed, shareHalfLife)
-	r.all.fade(left)
+	factor := predict.DecayFactor(elapsed, admissionHalfLife)
+	r.all.decay(factor)
 	for i := range r.long {
-		r.long[i].fade(left)
+		r.long[i].decay(factor)
 	}
-	r.at = now
+	r.decayedAt = now
 }
 
-// owed reports whether long prompts were let in too seldom.
-func (r *routeSizes) owed(class int) bool {
+// underserved reports whether long prompts of a class were admitted too rarely.
+func (r *routeSizes) underserved(class int) bool {
 	long := r.long[class]
-	return long.admitted*r.all.asked < leastShare*r.all.admitted*long.asked
+	return long.admitted*r.all.requests < minAdmissionRatio*r.all.admitted*long.requests
 }
 
-// sizesByRoute is what is known of the lengths of prompts, by the name of their route.
+// sizesByRoute has the prompt lengths by the name of their route.
 type sizesByRoute map[string]*routeSizes
 
-func (l sizesByRoute) of(now time.Time, route string, tokens float64) *routeSizes {
+func (l sizesByRoute) forRoute(now time.Time, route string, tokens float64) *routeSizes {
 	r, ok := l[route]
 	if !ok {
-		if len(l) >= mostRoutes {
+		if len(l) >= maxRoutes {
 			clear(l)
 		}
-		r = &routeSizes{at: now}
-		for i := range r.cuts {
-			r.cuts[i] = tokens
+		r = &routeSizes{decayedAt: now}
+		for i := range r.thresholds {
+			r.thresholds[i] = tokens
 		}
 		l[route] = r
 	}
-	r.fade(now)
+	r.decay(now)
 	return r
 }
 
-// admitBySize lets a long prompt in that would be too late, if long ones were let in
-// too seldom and it can still be answered.
+// admitBySize admits a long prompt that would be too late, if long ones were admitted
+// too rarely and it can still be answered.
 //
-// It answers bursts that last. Short prompts are let in until the wait is just short
-// enough for them, so that there is never time for a long one: its caller is refused
-// whenever it comes. One notices by refusals that grow with the length of the prompt.
-func (f *Fleet) admitBySize(now time.Time, j Job, p Plan, u Constraints, a Admission) Admission {
+// It guards against sustained bursts: short prompts are admitted until the queue delay
+// is just short enough for them, so that there is never time for a long one, and its
+// caller is rejected on each attempt. Symptom: the rejection rate grows with the length
+// of the prompt.
+func (f *Fleet) admitBySize(now time.Time, j Job, p Plan, c Constraints, a Admission) Admission {
 	if j.Prompt.Tokens <= 0 {
 		return a
 	}
 	tokens := float64(j.Prompt.Tokens)
-	r := f.sizes.of(now, j.Route, tokens)
-	class := r.class(tokens)
-	r.learn(tokens)
-	if !a.Admit && class >= 0 && r.owed(class) && p.canEnd(u) {
+	r := f.sizes.forRoute(now, j.Route, tokens)
+	class := r.sizeClass(tokens)
+	r.updateThresholds(tokens)
+	if !a.Admit && class >= 0 && r.underserved(class) && p.canFinishInTime(c) {
 		a = Admission{Admit: true, Priority: OnTimePriority, BySize: true}
 	}
 	r.all.add(a.Admit)
