--- a/internal/decide/admit/drain.go
+++ b/internal/decide/admit/drain.go
@@ -1,10 +1,9 @@
 package admit
 
-// DrainRate is the cost tokens a second that a fleet of split roles finishes
-// for a mix of work: the role that the mix needs more sets the pace. The rates
-// are those of all engines of a role together; prompt and output describe the
-// mix, in tokens of any common unit of requests; an output token costs
-// outputCost prompt tokens.
+// DrainRate returns the rate, in cost tokens per second, at which a fleet with separate
+// prefill and decode roles completes a mix of work: the bottleneck role determines it. The
+// rates are totals over all engines of a role. prompt and output are the tokens of the mix,
+// over any common number of requests; an output token costs outputCost prompt tokens.
 func DrainRate(prefillRate, decodeRate, prompt, output, outputCost float64) float64 {
 	seconds := 0.0
 	if prompt > 0 {
--- a/internal/decide/admit/remote.go
+++ b/internal/decide/admit/remote.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// remote is what other entries have gossiped about their heaviest accounts. An
-// account that spreads its load over all entries would otherwise look light
-// at each of them. Light accounts are not gossiped: they matter to no limit,
-// and 9,600 rows a second would not fit a node's network allowance.
-type remote struct {
-	ttl              time.Duration
-	entries, perEach int
-	byEntry          map[string]remoteEntry
-	totals           map[string]float64
+// remoteUsage holds the load of the heaviest accounts of other entries, as received by
+// gossip. Without it, an account that spreads its load over all entries looks light at each
+// of them. Light accounts are left out of gossip: no limit applies to them, and 9,600 rows
+// per second would exceed a node's network allowance.
+type remoteUsage struct {
+	ttl                             time.Duration
+	maxEntries, maxAccountsPerEntry int
+	byEntry                         map[string]remoteEntry
+	totals                          map[string]float64
 }
 
 type remoteEntry struct {
@@ -22,29 +22,29 @@
 	expires time.Time
 }
 
-func newRemote(cfg Config) *remote {
-	return &remote{
-		ttl:     cfg.RemoteTTL,
-		entries: cfg.RemoteEntries,
-		perEach: cfg.RemoteAccounts,
-		byEntry: make(map[string]remoteEntry),
-		totals:  make(map[string]float64),
+func newRemoteUsage(cfg Config) *remoteUsage {
+	return &remoteUsage{
+		ttl:                 cfg.RemoteTTL,
+		maxEntries:          cfg.MaxRemoteEntries,
+		maxAccountsPerEntry: cfg.MaxRemoteAccounts,
+		byEntry:             make(map[string]remoteEntry),
+		totals:              make(map[string]float64),
 	}
 }
 
-func (r *remote) merge(now time.Time, entry string, usages []Usage) {
+func (r *remoteUsage) set(now time.Time, entry string, usages []Usage) {
 	r.drop(entry)
-	if len(r.byEntry) >= r.entries {
+	if len(r.byEntry) >= r.maxEntries {
 		return
 	}
-	kept := append([]Usage(nil), usages[:min(len(usages), r.perEach)]...)
-	r.byEntry[entry] = remoteEntry{usages: kept, expires: now.Add(r.ttl)}
-	for _, u := range kept {
+	accepted := append([]Usage(nil), usages[:min(len(usages), r.maxAccountsPerEntry)]...)
+	r.byEntry[entry] = remoteEntry{usages: accepted, expires: now.Add(r.ttl)}
+	for _, u := range accepted {
 		r.totals[u.Caller] += u.Rate
 	}
 }
 
-func (r *remote) drop(entry string) {
+func (r *remoteUsage) drop(entry string) {
 	for _, u := range r.byEntry[entry].usages {
 		r.totals[u.Caller] -= u.Rate
 		if r.totals[u.Caller] < minRemoteRate {
@@ -54,10 +54,11 @@
 	delete(r.byEntry, entry)
 }
 
-// minRemoteRate, in tokens a second, is what rounding may leave of nothing.
+// minRemoteRate, in cost tokens per second, is the threshold below which a total is a
+// rounding error.
 const minRemoteRate = 1e-6
 
-func (r *remote) expire(now time.Time) {
+func (r *remoteUsage) expire(now time.Time) {
 	for _, entry := range slices.Sorted(maps.Keys(r.byEntry)) {
 		if now.After(r.byEntry[entry].expires) {
 			r.drop(entry)
@@ -65,4 +66,4 @@
 	}
 }
 
-func (r *remote) rate(caller string) float64 { return r.totals[caller] }
+func (r *remoteUsage) rate(caller string) float64 { return r.totals[caller] }
--- a/internal/decide/predict/decay.go
+++ b/internal/decide/predict/decay.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Left returns the part of something that is left after a time, if half of it is left
-// after halfLife.
-func DecayFactor(passed, halfLife time.Duration) float64 {
-	return math.Exp2(-float64(passed) / float64(halfLife))
+// DecayFactor returns the factor by which exponential decay with the given half-life
+// reduces a value within the elapsed time.
+func DecayFactor(elapsed, halfLife time.Duration) float64 {
+	return math.Exp2(-float64(elapsed) / float64(halfLife))
 }
--- a/internal/decide/predict/fit.go
+++ b/internal/decide/predict/fit.go
@@ -1,76 +1,75 @@
 package predict
 
 const (
-	// forget is the part of what was seen that each further value takes away:
-	// five hundred reads count. It follows a fleet whose engines are replaced within
-	// seconds of traffic.
-	forget = 0.002
-	// priorWeight is how much the prior counts at first, in values that are off by
-	// their whole size; priorDecay is what is left of that after each value, and
-	// leastPrior what stays for good, so that features that always come together
-	// have a solution.
-	priorWeight = 0.5
-	priorDecay  = 0.9
-	leastPrior  = 1e-4
-	// solveEvery is how many values pass between two solutions once the fit is
-	// settled: solving at each of them takes a visible part of a small VM.
-	solveEvery = 8
-	// settled is the number of values from which on solveEvery holds.
-	settled = 200
+	// forgettingFactor is the fraction of the accumulated sums that each observation
+	// discards: about the last 500 observations count. This follows a fleet whose engines
+	// are replaced within seconds of traffic.
+	forgettingFactor = 0.002
+	// The prior starts with initialPriorWeight, measured in observations that are off by
+	// 100%, and is multiplied by priorDecay after each observation. It never falls below
+	// minPriorWeight, so that features that always occur together have a solution.
+	initialPriorWeight = 0.5
+	priorDecay         = 0.9
+	minPriorWeight     = 1e-4
+	// solveInterval is the number of observations between two solutions after the first
+	// settledAfter ones: solving after each takes a noticeable share of a small VM's CPU.
+	solveInterval = 8
+	// settledAfter is the number of observations from which on solveInterval applies.
+	settledAfter = 200
 )
 
-// fit is a weighted least-squares fit with forgetting. Coefficients are kept
-// from being negative: time is not given back by more work.
+// fit is a weighted least-squares fit with exponential forgetting. No coefficient is
+// negative: more work never takes less time.
 type fit struct {
-	// n is how many of the coefficients are used, the first ones.
+	// n is the number of coefficients in use, from the first on.
 	n int
-	// normal and right are the normal equations: the sums of weighted products.
-	normal [coefficients][coefficients]float64
-	right  [coefficients]float64
-	prior  [coefficients]float64
-	// solution is the fit as last solved.
-	solution [coefficients]float64
+	// normal and rhs are the normal equations, as sums of weighted products.
+	normal [maxCoefficients][maxCoefficients]float64
+	rhs    [maxCoefficients]float64
+	prior  [maxCoefficients]float64
+	// solution holds the most recently computed coefficients.
+	solution [maxCoefficients]float64
 	count    int
-	// believed is how much the prior counts now.
-	believed float64
+	// priorWeight is the current weight of the prior.
+	priorWeight float64
 }
 
-func newFit(n int, prior [coefficients]float64) fit {
-	return fit{n: n, prior: prior, solution: prior, believed: priorWeight}
+func newFit(n int, prior [maxCoefficients]float64) fit {
+	return fit{n: n, prior: prior, solution: prior, priorWeight: initialPriorWeight}
 }
 
-// add takes in one value with its features and weight.
-func (f *fit) add(features [coefficients]float64, value, weight float64) {
+// add adds one weighted observation.
+func (f *fit) add(features [maxCoefficients]float64, value, weight float64) {
 	for i := range f.n {
 		for j := range f.n {
-			f.normal[i][j] += weight*features[i]*features[j] - forget*f.normal[i][j]
+			f.normal[i][j] += weight*features[i]*features[j] - forgettingFactor*f.normal[i][j]
 		}
-		f.right[i] += weight*features[i]*value - forget*f.right[i]
+		f.rhs[i] += weight*features[i]*value - forgettingFactor*f.rhs[i]
 	}
 	f.count++
-	f.believed = max(leastPrior, priorDecay*f.believed)
-	if f.count < settled || f.count%solveEvery == 0 {
+	f.priorWeight = max(minPriorWeight, priorDecay*f.priorWeight)
+	if f.count < settledAfter || f.count%solveInterval == 0 {
 		f.solve()
 	}
 }
 
-// learn takes in a value of which another was expected, in milliseconds. Values are
-// weighed by their relative error; a bounded one counts as mostSurprise times what
-// was expected at most.
-func (f *fit) learn(features [coefficients]float64, expected, seen float64, bounded bool) {
+// observe adds an observed time, in milliseconds, for which another was expected.
+// Observations are weighted by their relative error. If bounded is set, the observed time
+// is capped at maxObservedRatio times the expected one plus observedMargin.
+func (f *fit) observe(features [maxCoefficients]float64, expected, observed float64, bounded bool) {
 	if bounded {
-		seen = min(seen, mostSurprise*expected+surpriseFloor)
+		observed = min(observed, maxObservedRatio*expected+observedMargin)
 	}
-	scale := max(expected, seen) + jitter
-	f.add(features, seen, 1/(scale*scale))
+	scale := max(expected, observed) + relativeErrorOffset
+	f.add(features, observed, 1/(scale*scale))
 }
 
-// solve finds the coefficients. Those that come out negative are held at zero
-// one after the other, the most negative first, and the others solved again.
+// solve finds the coefficients. Negative ones are clamped to zero one at a time, the most
+// negative first, and the others solved again.
 func (f *fit) solve() {
-	var held [coefficients]bool
+	var clamped [maxCoefficients]bool
 	for range f.n {
-		s := f.solveFree(held)
+		s := f.solveUnclamped(clamped)
 		worst, relative := -1, 0.0
 		for i := range f.n {
 			if r := s[i] / f.prior[i]; r < relative {
@@ -81,21 +80,21 @@
 			f.solution = s
 			return
 		}
-		held[worst] = true
+		clamped[worst] = true
 	}
 }
 
-// solveFree solves for the coefficients that are not held at zero.
-func (f *fit) solveFree(held [coefficients]bool) [coefficients]float64 {
-	a, b := f.normal, f.right
+// solveUnclamped solves for the coefficients that are not clamped to zero.
+func (f *fit) solveUnclamped(clamped [maxCoefficients]bool) [maxCoefficients]float64 {
+	a, b := f.normal, f.rhs
 	for i := range f.n {
-		// A coefficient that is off by its whole prior costs so much.
-		pull := f.believed / (f.prior[i] * f.prior[i])
-		a[i][i] += pull
-		b[i] += pull * f.prior[i]
+		// The penalty is priorWeight for a coefficient that differs from its prior by 100%.
+		penalty := f.priorWeight / (f.prior[i] * f.prior[i])
+		a[i][i] += penalty
+		b[i] += penalty * f.prior[i]
 	}
 	for i := range f.n {
-		if !held[i] {
+		if !clamped[i] {
 			continue
 		}
 		for j := range f.n {
@@ -106,18 +105,19 @@
 	return eliminate(f.n, a, b)
 }
 
-// eliminate solves a symmetric positive definite system of n equations.
-func eliminate(n int, a [coefficients][coefficients]float64, b [coefficients]float64) [coefficients]float64 {
+// eliminate solves a symmetric positive definite system of n equations by Gaussian
+// elimination.
+func eliminate(n int, a [maxCoefficients][maxCoefficients]float64, b [maxCoefficients]float64) [maxCoefficients]float64 {
 	for i := range n {
 		for j := i + 1; j < n; j++ {
-			by := a[j][i] / a[i][i]
+			factor := a[j][i] / a[i][i]
 			for k := i; k < n; k++ {
-				a[j][k] -= by * a[i][k]
+				a[j][k] -= factor * a[i][k]
 			}
-			b[j] -= by * b[i]
+			b[j] -= factor * b[i]
 		}
 	}
-	var x [coefficients]float64
+	var x [maxCoefficients]float64
 	for i := n - 1; i >= 0; i-- {
 		x[i] = b[i]
 		for k := i + 1; k < n; k++ {
--- a/internal/decide/predict/handover.go
+++ b/internal/decide/predict/handover.go
@@ -2,35 +2,36 @@
 
 import "time"
 
-// The coefficients of a Handover.
+// The coefficients of a HandoverModel.
 const (
-	perHandover = iota
-	perBacklog
+	coefBase = iota
+	coefBacklog
 	handoverCoefficients
 )
 
-// Handover is what is believed of the time from the end of a read to the first
-// token from another engine: a time that passes anyway, and a part of the time for
-// which that engine has prompts of its own to read.
+// HandoverModel estimates the time from the end of a prefill to the first token from
+// another engine: a constant, and a fraction of the time that this engine still needs for
+// the prefills in its own queue.
 type HandoverModel struct {
 	fit fit
 }
 
-// NewHandover returns a Handover that expects least beside the whole backlog.
-func NewHandoverModel(least time.Duration) *HandoverModel {
-	return &HandoverModel{fit: newFit(handoverCoefficients, [coefficients]float64{perHandover: ToMillis(least), perBacklog: 1})}
+// NewHandoverModel returns a HandoverModel without observations. It expects the base delay
+// plus the whole backlog.
+func NewHandoverModel(base time.Duration) *HandoverModel {
+	return &HandoverModel{fit: newFit(handoverCoefficients, [maxCoefficients]float64{coefBase: ToMillis(base), coefBacklog: 1})}
 }
 
-// Least is what passes without a backlog.
-func (h *HandoverModel) BaseDelay() time.Duration { return milliseconds(h.fit.solution[perHandover]) }
+// BaseDelay returns the expected delay without a backlog.
+func (h *HandoverModel) BaseDelay() time.Duration { return fromMillis(h.fit.solution[coefBase]) }
 
-// Behind is how much a backlog adds.
+// BacklogDelay returns the expected delay that a backlog adds.
 func (h *HandoverModel) BacklogDelay(backlog time.Duration) time.Duration {
-	return time.Duration(h.fit.solution[perBacklog] * float64(backlog))
+	return time.Duration(h.fit.solution[coefBacklog] * float64(backlog))
 }
 
-// Learn takes in a handover to an engine with a backlog.
+// Observe adds an observed handover to an engine with the given backlog.
 func (h *HandoverModel) Observe(backlog, took time.Duration) {
 	expected := ToMillis(h.BaseDelay() + h.BacklogDelay(backlog))
-	h.fit.learn([coefficients]float64{perHandover: 1, perBacklog: ToMillis(backlog)}, expected, ToMillis(took), true)
+	h.fit.observe([maxCoefficients]float64{coefBase: 1, coefBacklog: ToMillis(backlog)}, expected, ToMillis(took), true)
 }
--- a/internal/decide/predict/lag.go
+++ b/internal/decide/predict/lag.go
@@ -3,37 +3,38 @@
 import "time"
 
 const (
-	// lagGain is the part that each value adds to a Lag.
+	// lagGain is the weight of one observation in the moving average.
 	lagGain = 0.1
-	// lagHalfLife is how long it takes a Lag to halve while no value comes: an entry
-	// that refuses all callers for its own lag sees no reads that would end it.
+	// lagHalfLife is the half-life of the lag without observations: a gateway that rejects
+	// all callers because of its own lag observes no prefills that would lower it.
 	lagHalfLife = time.Second
-	// mostLag bounds a value.
-	mostLag = time.Second
+	// maxLagSample bounds a single observation.
+	maxLagSample = time.Second
 )
 
-// Lag is how much longer some reads take than expected, whatever engine reads.
+// PrefillLag is a moving average of how much longer prefills take than expected, whichever
+// engine runs them.
 type PrefillLag struct {
-	value float64 // ms
-	at    time.Time
+	value     float64 // ms
+	updatedAt time.Time
 }
 
-// Now is the lag, never negative.
+// Current returns the lag, which is never negative.
 func (l *PrefillLag) Current(now time.Time) time.Duration {
-	l.fade(now)
-	return milliseconds(max(0, l.value))
+	l.decay(now)
+	return fromMillis(max(0, l.value))
 }
 
-// Learn takes in what a read of this entry was expected to take, and took.
+// Observe adds the expected and the actual duration of a prefill.
 func (l *PrefillLag) Observe(now time.Time, expected, took time.Duration) {
-	l.fade(now)
-	off := min(max(took-expected, -mostLag), mostLag)
-	l.value += lagGain * (ToMillis(off) - l.value)
+	l.decay(now)
+	excess := min(max(took-expected, -maxLagSample), maxLagSample)
+	l.value += lagGain * (ToMillis(excess) - l.value)
 }
 
-func (l *PrefillLag) fade(now time.Time) {
-	if passed := now.Sub(l.at); passed > 0 {
-		l.value *= DecayFactor(passed, lagHalfLife)
-		l.at = now
+func (l *PrefillLag) decay(now time.Time) {
+	if elapsed := now.Sub(l.updatedAt); elapsed > 0 {
+		l.value *= DecayFactor(elapsed, lagHalfLife)
+		l.updatedAt = now
 	}
 }
--- a/internal/decide/predict/lag_test.go
+++ b/internal/decide/predict/lag_test.go
@@ -9,10 +9,10 @@
 	"pistachioroad.dev/pistachioroad/internal/decide/predict"
 )
 
-var _ = Describe("Lag", func() {
+var _ = Describe("PrefillLag", func() {
 	start := time.Unix(1_000, 0)
 
-	It("follows what reads take beyond what is expected", func() {
+	It("follows the excess of prefills over their estimates", func() {
 		var l predict.PrefillLag
 		now := start
 		for range 60 {
@@ -22,9 +22,9 @@
 		Expect(l.Current(now)).To(BeNumerically("~", 150*time.Millisecond, 20*time.Millisecond))
 	})
 
-	// An entry refuses everybody as its link is full. Nothing is read, so nothing
-	// shows that the link is free again.
-	It("fades while nothing is read", func() {
+	// Guards against a gateway that rejects all callers for good: while its link is full it
+	// assigns no prefills, so no observation shows that the link is free again.
+	It("decays without observations", func() {
 		var l predict.PrefillLag
 		for range 60 {
 			l.Observe(start, 0, 800*time.Millisecond)
@@ -32,7 +32,7 @@
 		Expect(l.Current(start.Add(5 * time.Second))).To(BeNumerically("<", 30*time.Millisecond))
 	})
 
-	It("is never negative, and one value hardly moves it", func() {
+	It("is never negative, and a single observation has little effect", func() {
 		var l predict.PrefillLag
 		l.Observe(start, time.Hour, 0)
 		Expect(l.Current(start)).To(BeZero())
--- a/internal/decide/predict/lengths.go
+++ b/internal/decide/predict/lengths.go
@@ -6,104 +6,110 @@
 )
 
 const (
-	// lengthGain is the part that each answer adds to what is believed of lengths
-	// once a hundred were seen.
+	// lengthGain is the weight of one answer in the moving averages once a hundred answers
+	// were observed.
 	lengthGain = 0.01
-	// priorSpread is that of lengths around their hints before any were seen.
-	priorSpread = 0.5
-	// leastSpread keeps a chance of error in exact hints.
-	leastSpread = 0.05
-	// leastChance keeps answers far longer than hinted from having no length at all.
-	leastChance = 1e-9
+	// priorLogStdDev is the standard deviation of the log ratio of length to hint that is
+	// assumed before the model is calibrated.
+	priorLogStdDev = 0.5
+	// minLogStdDev leaves some uncertainty where hints are exact.
+	minLogStdDev = 0.05
+	// minProbability keeps the estimates for answers far longer than hinted finite.
+	minProbability = 1e-9
 )
 
-// Lengths is what is believed of how many events an answer has, given the caller's
-// hint of its tokens: an event holds several tokens, and hints are often far off.
+// LengthModel is a log-normal model of the number of stream events of an answer, given the
+// caller's hint in tokens: an event carries several tokens, and hints are often far off.
 type LengthModel struct {
-	// logEvents is the mean logarithm of events a hinted token, variance its
-	// spread.
-	logEvents, variance float64
-	seen                int
+	// logEventsPerToken is the mean logarithm of events per hinted token, variance its
+	// variance.
+	logEventsPerToken, variance float64
+	samples                     int
 }
 
-// Learn takes in a whole answer.
+// Observe adds a complete answer.
 func (l *LengthModel) Observe(hint, events int) {
 	if hint <= 0 || events <= 0 {
 		return
 	}
-	l.seen++
-	gain := max(lengthGain, 1/float64(l.seen))
-	err := math.Log(float64(events)/float64(hint)) - l.logEvents
-	l.logEvents += gain * err
-	l.variance += gain * ((1-gain)*err*err - l.variance)
+	l.samples++
+	gain := max(lengthGain, 1/float64(l.samples))
+	logError := math.Log(float64(events)/float64(hint)) - l.logEventsPerToken
+	l.logEventsPerToken += gain * logError
+	l.variance += gain * ((1-gain)*logError*logError - l.variance)
 }
 
-// Known reports whether enough answers were seen.
-func (l *LengthModel) Calibrated() bool { return l.seen >= enoughReads }
+// Calibrated reports whether enough answers were observed.
+func (l *LengthModel) Calibrated() bool { return l.samples >= minSamples }
 
-// Answer is what is known of one answer before its end.
+// Answer describes an answer that is not finished.
 type Answer struct {
-	// Hint is how many tokens its caller expects, Done how many events there are.
+	// HintTokens is the length that the caller expects, EventsDone the number of events
+	// generated so far.
 	HintTokens, EventsDone int
 }
 
-// Tokens returns how many tokens a number of events hold, 0 while that is not known.
+// Tokens returns the expected number of tokens in the given number of events, or 0 before
+// the model is calibrated.
 func (l *LengthModel) Tokens(events int) int {
 	if !l.Calibrated() {
 		return 0
 	}
-	return int(float64(events) * math.Exp(-l.logEvents))
+	return int(float64(events) * math.Exp(-l.logEventsPerToken))
 }
 
-// Duration is how long the rest of an answer takes, with the time between two of
-// its events: the median of the answers that are longer than what is done.
-func (l *LengthModel) RemainingTime(a Answer, between time.Duration) time.Duration {
-	z := math.Sqrt2 * math.Erfcinv(l.longer(a, float64(a.EventsDone)))
-	events := float64(a.HintTokens) * math.Exp(l.logEvents+l.spread()*z)
-	return time.Duration(max(1, events-float64(a.EventsDone)) * float64(between))
+// RemainingTime returns the time that the rest of an answer takes at the given inter-event
+// time: the median over the answers that are longer than EventsDone.
+func (l *LengthModel) RemainingTime(a Answer, interEvent time.Duration) time.Duration {
+	z := math.Sqrt2 * math.Erfcinv(l.probabilityLonger(a, float64(a.EventsDone)))
+	events := float64(a.HintTokens) * math.Exp(l.logEventsPerToken+l.logStdDev()*z)
+	return time.Duration(max(1, events-float64(a.EventsDone)) * float64(interEvent))
 }
 
-// Exceeds is the probability that the rest of an answer takes longer than left.
-func (l *LengthModel) MissProbability(a Answer, between, left time.Duration) float64 {
-	if left <= 0 {
+// MissProbability returns the probability that the rest of an answer takes longer than the
+// remaining time.
+func (l *LengthModel) MissProbability(a Answer, interEvent, remaining time.Duration) float64 {
+	if remaining <= 0 {
 		return 1
 	}
-	return l.longer(a, l.reach(a, between, left)) / l.longer(a, float64(a.EventsDone))
+	return l.probabilityLonger(a, l.eventsAfter(a, interEvent, remaining)) / l.probabilityLonger(a, float64(a.EventsDone))
 }
 
-// Sensitivity is how much that probability grows with a delay, as a part of left.
-func (l *LengthModel) MissSensitivity(a Answer, between, left time.Duration) float64 {
-	if left <= 0 {
+// MissSensitivity returns the derivative of MissProbability with respect to a delay, the
+// delay as a fraction of the remaining time.
+func (l *LengthModel) MissSensitivity(a Answer, interEvent, remaining time.Duration) float64 {
+	if remaining <= 0 {
 		return 0
 	}
-	reach := l.reach(a, between, left)
-	z := l.deviation(a, reach)
-	density := math.Exp(-z*z/2) / math.Sqrt(2*math.Pi) / l.spread()
-	return density * (1 - float64(a.EventsDone)/reach) / l.longer(a, float64(a.EventsDone))
+	events := l.eventsAfter(a, interEvent, remaining)
+	z := l.zScore(a, events)
+	density := math.Exp(-z*z/2) / math.Sqrt(2*math.Pi) / l.logStdDev()
+	return density * (1 - float64(a.EventsDone)/events) / l.probabilityLonger(a, float64(a.EventsDone))
 }
 
-// reach is how many events there are of an answer after a time.
-func (l *LengthModel) reach(a Answer, between, after time.Duration) float64 {
-	return float64(a.EventsDone) + float64(after)/float64(max(1, between))
+// eventsAfter returns the number of events that an answer has after a further time.
+func (l *LengthModel) eventsAfter(a Answer, interEvent, after time.Duration) float64 {
+	return float64(a.EventsDone) + float64(after)/float64(max(1, interEvent))
 }
 
-// longer is the probability that an answer has more than a number of events.
-func (l *LengthModel) longer(a Answer, events float64) float64 {
+// probabilityLonger returns the probability that an answer has more than the given number
+// of events.
+func (l *LengthModel) probabilityLonger(a Answer, events float64) float64 {
 	if events <= 0 {
 		return 1
 	}
-	return max(leastChance, 0.5*math.Erfc(l.deviation(a, events)/math.Sqrt2))
+	return max(minProbability, 0.5*math.Erfc(l.zScore(a, events)/math.Sqrt2))
 }
 
-// deviation is by how many standard deviations a number of events is more than
-// expected.
-func (l *LengthModel) deviation(a Answer, events float64) float64 {
-	return math.Log(events/(float64(a.HintTokens)*math.Exp(l.logEvents))) / l.spread()
+// zScore returns by how many standard deviations the logarithm of the number of events
+// exceeds its mean.
+func (l *LengthModel) zScore(a Answer, events float64) float64 {
+	return math.Log(events/(float64(a.HintTokens)*math.Exp(l.logEventsPerToken))) / l.logStdDev()
 }
 
-func (l *LengthModel) spread() float64 {
+func (l *LengthModel) logStdDev() float64 {
 	if !l.Calibrated() {
-		return priorSpread
+		return priorLogStdDev
 	}
-	return max(leastSpread, math.Sqrt(l.variance))
+	return max(minLogStdDev, math.Sqrt(l.variance))
 }
--- a/internal/decide/predict/predict.go
+++ b/internal/decide/predict/predict.go
@@ -1,15 +1,14 @@
-// Package predict learns how long the model engines of one service take, from
-// the answers that pass through the gateways.
+// Package predict estimates how long the model engines of a service take, from the answers
+// that pass through the gateways.
 //
-// It answers fleets whose engines nobody has described: one generation of
-// accelerators reads five times as fast as another, engines of one service
-// differ, and one that runs hot turns slow. With fixed figures for one kind of
-// engine every expectation is wrong by the same factor on another: requests that
-// would be in time are refused as too late, or prompts pile up in front of
-// engines that are believed fast. One notices by expected and seen first tokens
-// that differ by a constant factor.
+// Engines need no configured speed. One generation of accelerators prefills five times as
+// fast as another, engines of one service differ, and an engine that overheats slows down.
+// With fixed figures for one kind of engine, every estimate for another kind is wrong by
+// the same factor: requests that would meet their deadline are rejected, or prompts pile up
+// at engines that are taken for fast ones. Symptom: expected and observed times to first
+// token differ by a constant factor.
 //
-// It is pure code; time is passed in.
+// The package does no I/O and reads no clock; callers pass in the time.
 package predict
 
 import (
@@ -17,166 +16,165 @@
 	"time"
 )
 
-// Work is what an engine has to read, of one prompt or of several.
+// PrefillWork is the prefill work of one or several prompts.
 type PrefillWork struct {
-	// Prompts counts the prompts.
+	// Prompts is the number of prompts.
 	Prompts float64
-	// Tokens are the prompt tokens that it does not keep.
+	// Tokens is the number of prompt tokens that are not cached.
 	Tokens float64
-	// Pairs are the pairs of a token that it reads and one before it: the cost
-	// of attention.
+	// AttentionPairs is the number of pairs of an uncached token and a token before it: the
+	// cost of attention.
 	AttentionPairs float64
 }
 
-// WorkOf returns the work of reading a prompt of which some tokens are kept.
-func NewPrefillWork(tokens, kept int) PrefillWork {
-	fresh := float64(max(leastFresh, tokens-kept))
-	return PrefillWork{Prompts: 1, Tokens: fresh, AttentionPairs: fresh * (float64(kept) + fresh/2)}
+// NewPrefillWork returns the work of a prompt of which some tokens are cached.
+func NewPrefillWork(tokens, cached int) PrefillWork {
+	uncached := float64(max(minUncachedTokens, tokens-cached))
+	return PrefillWork{Prompts: 1, Tokens: uncached, AttentionPairs: uncached * (float64(cached) + uncached/2)}
 }
 
-// leastFresh tokens are read even of a prompt that is kept whole.
-const leastFresh = 16
+// minUncachedTokens is the number of tokens to prefill even if the whole prompt is cached.
+const minUncachedTokens = 16
 
-// Plus returns the work of both.
+// Plus returns the sum of both.
 func (w PrefillWork) Plus(o PrefillWork) PrefillWork {
 	return PrefillWork{Prompts: w.Prompts + o.Prompts, Tokens: w.Tokens + o.Tokens, AttentionPairs: w.AttentionPairs + o.AttentionPairs}
 }
 
-// Times returns a part or a multiple of the work.
-func (w PrefillWork) Scale(by float64) PrefillWork {
-	return PrefillWork{Prompts: w.Prompts * by, Tokens: w.Tokens * by, AttentionPairs: w.AttentionPairs * by}
+// Scale returns the work multiplied by a factor.
+func (w PrefillWork) Scale(factor float64) PrefillWork {
+	return PrefillWork{Prompts: w.Prompts * factor, Tokens: w.Tokens * factor, AttentionPairs: w.AttentionPairs * factor}
 }
 
 const (
-	// enoughReads is after how many reads a Reading is known. A refusal rests on an
-	// expectation, so that until then nobody is refused as too late.
-	enoughReads = 40
-	// mostSurprise bounds by how many times a read may exceed what was expected
-	// and still count in full: one that waited in a socket for a frozen gateway
-	// says nothing about the engine.
-	mostSurprise = 1.5
-	// surpriseFloor keeps that bound from cutting short reads, where a millisecond
-	// on the way is a large part.
-	surpriseFloor = 5.0 // ms
-	// jitter is added to each expectation when a read is weighed: reads are
-	// compared by their relative error, and without it the shortest ones, whose
-	// error is the network's, would decide alone.
-	jitter = 5.0 // ms
+	// minSamples is the number of observations from which on a model counts as
+	// calibrated. Rejections rely on estimates; before that no request is rejected as too
+	// late.
+	minSamples = 40
+	// maxObservedRatio caps an observed time relative to the expected one: a prefill whose
+	// answer waited in the socket of a frozen gateway says nothing about the engine.
+	maxObservedRatio = 1.5
+	// observedMargin is added to that cap, so that it does not cut off short prefills,
+	// where a millisecond of network latency is a large fraction.
+	observedMargin = 5.0 // ms
+	// relativeErrorOffset is added to times before their relative error is taken. Without
+	// it the shortest prefills, whose error is the network's, would dominate the fit.
+	relativeErrorOffset = 5.0 // ms
 )
 
-// The coefficients of a Reading, in milliseconds.
+// The coefficients of a PrefillModel, in milliseconds.
 const (
-	perLatency = iota
-	perPrompt
-	perToken
-	perPair
-	coefficients
+	coefLatency = iota
+	coefPrompt
+	coefToken
+	coefPair
+	// maxCoefficients is the largest number of coefficients of any model.
+	maxCoefficients
 )
 
-// priorRead are the figures before any read was seen: those of a slow engine, so
-// that the first prompts spread over all of them. They decay to nothing within
-// some tens of reads.
-var priorRead = [coefficients]float64{perLatency: 30, perPrompt: 2, perToken: 1 / 100.0, perPair: 0.1e-6}
+// prefillPrior holds the coefficients before any observation: those of a slow engine, so
+// that the first prompts spread over all engines. Its weight decays to almost nothing
+// within some tens of prefills.
+var prefillPrior = [maxCoefficients]float64{coefLatency: 30, coefPrompt: 2, coefToken: 1 / 100.0, coefPair: 0.1e-6}
 
-// Reading is what is believed of the reading of prompts by the engines in one
-// role: a time that passes whatever is read (the network, the start of a run),
-// and what each prompt, token and pair adds, all in proportion to what waits
-// before them.
+// PrefillModel estimates the prefill time of the engines in one role: a fixed latency
+// (network, start of a batch), and a cost per prompt, token and attention pair, of the
+// prompt itself and of those queued ahead of it.
 type PrefillModel struct {
 	fit fit
 }
 
-// NewReading returns a Reading that has seen nothing, of engines that are
-// expected to read slowness times as slowly as those that do nothing else.
-func NewPrefillModel(slowness float64) *PrefillModel {
-	prior := priorRead
-	prior[perToken] *= slowness
-	return &PrefillModel{fit: newFit(coefficients, prior)}
+// NewPrefillModel returns a PrefillModel without observations, for engines whose prefill is
+// expected to be slower by the given factor than that of dedicated prefill engines.
+func NewPrefillModel(slowdown float64) *PrefillModel {
+	prior := prefillPrior
+	prior[coefToken] *= slowdown
+	return &PrefillModel{fit: newFit(maxCoefficients, prior)}
 }
 
-// Known reports whether enough reads were seen to refuse requests by it.
-func (r *PrefillModel) Calibrated() bool { return r.fit.count >= enoughReads }
+// Calibrated reports whether enough prefills were observed to reject requests by the
+// estimates.
+func (m *PrefillModel) Calibrated() bool { return m.fit.count >= minSamples }
 
-// Reads returns how many reads were learned from.
-func (r *PrefillModel) Samples() int { return r.fit.count }
+// Samples returns the number of observed prefills.
+func (m *PrefillModel) Samples() int { return m.fit.count }
 
-// Cost is how long an engine of average speed is busy with the work.
-func (r *PrefillModel) ComputeTime(w PrefillWork) time.Duration {
-	c := &r.fit.solution
-	return milliseconds(c[perPrompt]*w.Prompts + c[perToken]*w.Tokens + c[perPair]*w.AttentionPairs)
+// ComputeTime returns how long the work keeps an engine of average speed busy.
+func (m *PrefillModel) ComputeTime(w PrefillWork) time.Duration {
+	c := &m.fit.solution
+	return fromMillis(c[coefPrompt]*w.Prompts + c[coefToken]*w.Tokens + c[coefPair]*w.AttentionPairs)
 }
 
-// Latency is how long an answer takes beside the work.
-func (r *PrefillModel) FixedLatency() time.Duration { return milliseconds(r.fit.solution[perLatency]) }
-
-// Rate returns how many prompt tokens an engine of average speed reads in a
-// millisecond, attention aside.
-func (r *PrefillModel) TokenRate() float64 { return 1 / max(r.fit.solution[perToken], minRate) }
-
-// minRate keeps Rate finite, in milliseconds a token.
-const minRate = 1e-6
-
-// Learn takes in a read: the work that was before its end at an engine of a
-// given slowness (1 is average, 2 takes twice as long), its own included, and
-// the time that it took.
-func (r *PrefillModel) Observe(w PrefillWork, slowness float64, took time.Duration) {
-	expected := ToMillis(r.FixedLatency()) + slowness*ToMillis(r.ComputeTime(w))
-	features := [coefficients]float64{
-		perLatency: 1,
-		perPrompt:  slowness * w.Prompts,
-		perToken:   slowness * w.Tokens,
-		perPair:    slowness * w.AttentionPairs,
+// FixedLatency returns the latency that does not depend on the work.
+func (m *PrefillModel) FixedLatency() time.Duration { return fromMillis(m.fit.solution[coefLatency]) }
+
+// TokenRate returns how many prompt tokens an engine of average speed prefills per
+// millisecond, without the cost of attention.
+func (m *PrefillModel) TokenRate() float64 { return 1 / max(m.fit.solution[coefToken], minTokenTime) }
+
+// minTokenTime, in milliseconds, keeps TokenRate finite.
+const minTokenTime = 1e-6
+
+// Observe adds an observed prefill: its own work plus the work queued ahead of it, the
+// slowdown of the engine (1 is average, 2 takes twice as long) and the time it took.
+func (m *PrefillModel) Observe(w PrefillWork, slowdown float64, took time.Duration) {
+	expected := ToMillis(m.FixedLatency()) + slowdown*ToMillis(m.ComputeTime(w))
+	features := [maxCoefficients]float64{
+		coefLatency: 1,
+		coefPrompt:  slowdown * w.Prompts,
+		coefToken:   slowdown * w.Tokens,
+		coefPair:    slowdown * w.AttentionPairs,
 	}
-	r.fit.learn(features, expected, ToMillis(took), r.Calibrated())
+	m.fit.observe(features, expected, ToMillis(took), m.Calibrated())
 }
 
 const (
-	// slownessGain is the part of a read's relative error that an engine's
-	// slowness takes on.
-	slownessGain = 0.02
-	// firstReads lowers that part for the first values, which count more.
-	firstReads = 10
-	// mostSlowness bounds the belief: beyond it an engine gets nothing anyway.
-	mostSlowness = 8.0
-	// mostStep bounds the logarithm of a single read's relative error.
-	mostStep = 1.0
-	// backToAverage is the part of the belief that each read takes back, so that
-	// what all engines have in common settles in the Reading.
-	backToAverage = 0.001
+	// slowdownGain is the weight of one observation in an engine's slowdown.
+	slowdownGain = 0.02
+	// slowdownWarmup reduces the otherwise higher weight of the first observations.
+	slowdownWarmup = 10
+	// maxSlowdown bounds the estimate; a slower engine is assigned nothing anyway.
+	maxSlowdown = 8.0
+	// maxLogError bounds the logarithmic error of a single observation.
+	maxLogError = 1.0
+	// meanReversion is the fraction by which each observation pulls the slowdown towards 1,
+	// so that what all engines have in common moves into the PrefillModel.
+	meanReversion = 0.001
 )
 
-// Engine is what is believed of one engine beside what it has in common with
-// the others of its service. The zero Engine is an average one.
+// EngineSpeed estimates the speed of one engine relative to the average of its service. The
+// zero value is an average engine.
 type EngineSpeed struct {
-	// logSlowness is the logarithm of its slowness.
-	logSlowness float64
-	// variance is that of a single read's relative error, around logSlowness.
+	// logSlowdown is the logarithm of the slowdown.
+	logSlowdown float64
+	// variance is a moving average of the squared logarithmic error of one observation.
 	variance float64
-	reads    int
+	samples  int
 }
 
-// Slowness is how many times as long as an average engine it takes.
-func (e *EngineSpeed) Slowdown() float64 { return math.Exp(e.logSlowness) }
+// Slowdown returns how many times as long as an average engine the engine takes.
+func (e *EngineSpeed) Slowdown() float64 { return math.Exp(e.logSlowdown) }
 
-// Doubt is the standard error of Slowness, as a part of it.
-func (e *EngineSpeed) RelativeError() float64 { return math.Sqrt(e.variance * slownessGain / 2) }
+// RelativeError returns the standard error of Slowdown as a fraction of it.
+func (e *EngineSpeed) RelativeError() float64 { return math.Sqrt(e.variance * slowdownGain / 2) }
 
-// Known reports whether enough reads were seen to compare the engine with others.
-func (e *EngineSpeed) Calibrated() bool { return e.reads >= enoughReads }
+// Calibrated reports whether enough observations were made to compare the engine with
+// others.
+func (e *EngineSpeed) Calibrated() bool { return e.samples >= minSamples }
 
-// Learn takes in what a read was expected to take at this engine, and took.
+// Observe adds the expected and the actual duration at this engine.
 func (e *EngineSpeed) Observe(expected, took time.Duration) {
-	err := math.Log((ToMillis(took) + jitter) / (ToMillis(expected) + jitter))
-	err = min(max(err, -mostStep), mostStep)
-	e.reads++
-	e.variance += max(slownessGain, 1/float64(e.reads)) * (err*err - e.variance)
-	e.logSlowness += max(slownessGain, 1/float64(e.reads+firstReads)) * err
-	e.logSlowness *= 1 - backToAverage
-	bound := math.Log(mostSlowness)
-	e.logSlowness = min(max(e.logSlowness, -bound), bound)
+	logError := math.Log((ToMillis(took) + relativeErrorOffset) / (ToMillis(expected) + relativeErrorOffset))
+	logError = min(max(logError, -maxLogError), maxLogError)
+	e.samples++
+	e.variance += max(slowdownGain, 1/float64(e.samples)) * (logError*logError - e.variance)
+	e.logSlowdown += max(slowdownGain, 1/float64(e.samples+slowdownWarmup)) * logError
+	e.logSlowdown *= 1 - meanReversion
+	bound := math.Log(maxSlowdown)
+	e.logSlowdown = min(max(e.logSlowdown, -bound), bound)
 }
 
-func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+func fromMillis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// InMS returns a duration in milliseconds.
+// ToMillis returns a duration in milliseconds.
 func ToMillis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/decide/predict/predict_test.go
+++ b/internal/decide/predict/predict_test.go
@@ -17,20 +17,20 @@
 	RunSpecs(t, "predict")
 }
 
-// sheet is an engine as it really is.
-type sheet struct {
+// engineParams are the true prefill coefficients of a simulated engine.
+type engineParams struct {
 	latency, perPrompt, perToken, perPair float64 // ms
 }
 
-// took is how long a read behind other work takes, with a tenth of chance.
-func (s sheet) took(rng *rand.Rand, w predict.PrefillWork) time.Duration {
+// took returns the time of a prefill behind other work, with 10% noise.
+func (s engineParams) took(rng *rand.Rand, w predict.PrefillWork) time.Duration {
 	ms := s.latency + s.perPrompt*w.Prompts + s.perToken*w.Tokens + s.perPair*w.AttentionPairs
 	ms *= 1 + 0.1*rng.NormFloat64()
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// someWork is a prompt of very uneven length, behind up to four others.
-func someWork(rng *rand.Rand) predict.PrefillWork {
+// randomWork returns a prompt of widely varying length, behind up to four others.
+func randomWork(rng *rand.Rand) predict.PrefillWork {
 	var w predict.PrefillWork
 	for range 1 + rng.IntN(5) {
 		tokens := int(1_000 * math.Exp(rng.NormFloat64()))
@@ -39,133 +39,132 @@
 	return w
 }
 
-// teach lets a Reading see reads.
-func teach(r *predict.PrefillModel, s sheet, rng *rand.Rand, reads int) {
-	for range reads {
-		w := someWork(rng)
+// train makes the model observe simulated prefills.
+func train(r *predict.PrefillModel, s engineParams, rng *rand.Rand, prefills int) {
+	for range prefills {
+		w := randomWork(rng)
 		r.Observe(w, 1, s.took(rng, w))
 	}
 }
 
-// worst is the largest part by which the Reading is off the sheet, over the mean
-// of ten reads at a time.
-func worst(r *predict.PrefillModel, s sheet, rng *rand.Rand) float64 {
-	off := 0.0
+// maxError returns the largest relative error of the model, over means of ten prefills.
+func maxError(r *predict.PrefillModel, s engineParams, rng *rand.Rand) float64 {
+	worst := 0.0
 	for range 20 {
-		var expected, seen time.Duration
+		var expected, observed time.Duration
 		for range 10 {
-			w := someWork(rng)
+			w := randomWork(rng)
 			expected += r.FixedLatency() + r.ComputeTime(w)
-			seen += s.took(rng, w)
+			observed += s.took(rng, w)
 		}
-		off = max(off, math.Abs(float64(expected)/float64(seen)-1))
+		worst = max(worst, math.Abs(float64(expected)/float64(observed)-1))
 	}
-	return off
+	return worst
 }
 
 var (
-	fast      = sheet{latency: 14, perPrompt: 1.2, perToken: 1 / 420.0, perPair: 0.8e-7}
-	slow      = sheet{latency: 33, perPrompt: 1.5, perToken: 1 / 100.0, perPair: 1.6e-7}
-	tiny      = sheet{latency: 80, perPrompt: 10, perToken: 1 / 15.0, perPair: 4e-7}
-	attentive = sheet{latency: 5, perPrompt: 0.3, perToken: 1 / 2_000.0, perPair: 2e-6}
+	fast           = engineParams{latency: 14, perPrompt: 1.2, perToken: 1 / 420.0, perPair: 0.8e-7}
+	slow           = engineParams{latency: 33, perPrompt: 1.5, perToken: 1 / 100.0, perPair: 1.6e-7}
+	verySlow       = engineParams{latency: 80, perPrompt: 10, perToken: 1 / 15.0, perPair: 4e-7}
+	attentionBound = engineParams{latency: 5, perPrompt: 0.3, perToken: 1 / 2_000.0, perPair: 2e-6}
 )
 
-var _ = Describe("Reading", func() {
-	// A customer's engines read five times as fast as those of the one before.
-	// Until that is known, requests are refused as too late that would be in time.
-	DescribeTable("learns engines of any speed to within 15% in sixty reads",
-		func(s sheet) {
+var _ = Describe("PrefillModel", func() {
+	// Guards against rejecting requests that would meet their deadline: engines may prefill
+	// five times as fast as those of another installation.
+	DescribeTable("estimates engines of any speed to within 15% after 60 prefills",
+		func(s engineParams) {
 			rng := rand.New(rand.NewPCG(1, 2))
 			r := predict.NewPrefillModel(1)
 			Expect(r.Calibrated()).To(BeFalse())
-			teach(r, s, rng, 60)
+			train(r, s, rng, 60)
 			Expect(r.Calibrated()).To(BeTrue())
-			Expect(worst(r, s, rng)).To(BeNumerically("<", 0.15))
+			Expect(maxError(r, s, rng)).To(BeNumerically("<", 0.15))
 		},
-		Entry("fast ones", fast),
-		Entry("slow ones", slow),
-		Entry("tiny ones", tiny),
-		Entry("ones whose attention costs most", attentive),
+		Entry("fast", fast),
+		Entry("slow", slow),
+		Entry("very slow", verySlow),
+		Entry("dominated by attention", attentionBound),
 	)
 
-	// All engines are replaced by others while requests come.
-	It("follows engines that change their speed", func() {
+	// All engines are replaced under load.
+	It("adapts to engines that change their speed", func() {
 		rng := rand.New(rand.NewPCG(3, 4))
 		r := predict.NewPrefillModel(1)
-		teach(r, fast, rng, 2_000)
-		teach(r, slow, rng, 3_000)
-		Expect(worst(r, slow, rng)).To(BeNumerically("<", 0.15))
-		teach(r, fast, rng, 5_000)
-		Expect(worst(r, fast, rng)).To(BeNumerically("<", 0.15))
+		train(r, fast, rng, 2_000)
+		train(r, slow, rng, 3_000)
+		Expect(maxError(r, slow, rng)).To(BeNumerically("<", 0.15))
+		train(r, fast, rng, 5_000)
+		Expect(maxError(r, fast, rng)).To(BeNumerically("<", 0.15))
 	})
 
-	// Answers wait seconds in the socket of a gateway that was frozen. Taken for
-	// the engines' speed, they would make it refuse everybody for as long.
-	It("is not moved by answers that waited elsewhere", func() {
+	// Guards against rejecting all callers for seconds after a gateway was frozen: answers
+	// that waited in its socket are not a sign of slow engines.
+	It("is not distorted by answers delayed outside the engine", func() {
 		rng := rand.New(rand.NewPCG(5, 6))
 		r := predict.NewPrefillModel(1)
-		teach(r, fast, rng, 500)
+		train(r, fast, rng, 500)
 		for range 20 {
-			r.Observe(someWork(rng), 1, 3*time.Second)
+			r.Observe(randomWork(rng), 1, 3*time.Second)
 		}
-		Expect(worst(r, fast, rng)).To(BeNumerically("<", 0.15))
+		Expect(maxError(r, fast, rng)).To(BeNumerically("<", 0.15))
 	})
 
-	It("never believes that more work takes less time", func() {
+	It("never estimates a shorter time for more work", func() {
 		rng := rand.New(rand.NewPCG(7, 8))
 		r := predict.NewPrefillModel(1)
 		for range 1_000 {
-			r.Observe(someWork(rng), 1, time.Duration(rng.IntN(int(time.Second))))
-			more := someWork(rng)
+			r.Observe(randomWork(rng), 1, time.Duration(rng.IntN(int(time.Second))))
+			more := randomWork(rng)
 			Expect(r.ComputeTime(more)).To(BeNumerically(">=", 0))
 			Expect(r.ComputeTime(more.Plus(more))).To(BeNumerically(">=", r.ComputeTime(more)))
 		}
 	})
 })
 
-var _ = Describe("Engine", func() {
-	// read lets an engine of a slowness take one read that an average one does in
-	// 30 ms, and the belief see it.
-	read := func(e *predict.EngineSpeed, rng *rand.Rand, slowness float64) {
+var _ = Describe("EngineSpeed", func() {
+	// observe runs one prefill, of 30 ms on an average engine, on an engine with the given
+	// slowdown, and adds it to the estimate.
+	observe := func(e *predict.EngineSpeed, rng *rand.Rand, slowdown float64) {
 		const average = 30 * time.Millisecond
 		expected := time.Duration(e.Slowdown() * float64(average))
-		took := time.Duration(slowness * (1 + 0.3*rng.NormFloat64()) * float64(average))
+		took := time.Duration(slowdown * (1 + 0.3*rng.NormFloat64()) * float64(average))
 		e.Observe(expected, max(time.Millisecond, took))
 	}
 
-	// One engine of nine runs hot and takes five times as long, and later is well
-	// again. Believed as fast as the others, it gets as many prompts, and a ninth
-	// of all callers wait.
-	It("notices an engine that turns slow, and one that is well again", func() {
+	// Guards against long queues at an engine that overheats, takes five times as long and
+	// later recovers: assumed to be as fast as the other eight, it would get as many
+	// prompts, and a ninth of all callers would wait.
+	It("detects an engine that slows down and one that recovers", func() {
 		rng := rand.New(rand.NewPCG(9, 10))
 		var e predict.EngineSpeed
 		for range 100 {
-			read(&e, rng, 1)
+			observe(&e, rng, 1)
 		}
 		Expect(e.Slowdown()).To(BeNumerically("~", 1, 0.25))
 		for range 150 {
-			read(&e, rng, 5)
+			observe(&e, rng, 5)
 		}
 		Expect(e.Slowdown()).To(BeNumerically(">", 3.5))
 		for range 200 {
-			read(&e, rng, 1)
+			observe(&e, rng, 1)
 		}
 		Expect(e.Slowdown()).To(BeNumerically("<", 1.5))
 	})
 
-	// All gateways start anew and know no engine. Until the slow ones are known, long
-	// answers go there as often as anywhere, and are cut by their deadlines.
-	It("knows a slow engine by its first forty reads", func() {
+	// Guards against long answers cut by their deadline after a restart of all gateways:
+	// until slow engines are detected, they get as many long answers as the others.
+	It("detects a slow engine by its first 40 prefills", func() {
 		rng := rand.New(rand.NewPCG(13, 14))
 		var e predict.EngineSpeed
 		for range 40 {
-			read(&e, rng, 1.3)
+			observe(&e, rng, 1.3)
 		}
 		Expect(e.Calibrated()).To(BeTrue())
 		Expect(e.Slowdown()).To(BeNumerically(">", 1.2))
 	})
 
-	It("bounds what it believes", func() {
+	It("bounds the slowdown", func() {
 		var e predict.EngineSpeed
 		for range 5_000 {
 			e.Observe(time.Millisecond, time.Hour)
@@ -174,32 +173,32 @@
 	})
 })
 
-var _ = Describe("Handover", func() {
-	// Engines put what was handed to them before the prompts that they read
-	// themselves, or behind them, as they like. Expected otherwise, answers are
-	// refused as too late that would be in time, or let in and late.
-	DescribeTable("learns what a backlog adds to within 15% in a hundred answers",
-		func(least time.Duration, part float64) {
+var _ = Describe("HandoverModel", func() {
+	// Guards against wrong estimates for handovers: engines run prefills that were handed
+	// to them before or behind those of their own queue. A wrong assumption rejects answers
+	// that would be in time, or admits ones that are late.
+	DescribeTable("estimates the delay by a backlog to within 15% after 100 answers",
+		func(base time.Duration, fraction float64) {
 			rng := rand.New(rand.NewPCG(11, 12))
 			h := predict.NewHandoverModel(15 * time.Millisecond)
 			took := func(backlog time.Duration) time.Duration {
-				return least + time.Duration(part*float64(backlog))
+				return base + time.Duration(fraction*float64(backlog))
 			}
 			for range 100 {
 				backlog := time.Duration(rng.IntN(300)) * time.Millisecond
 				h.Observe(backlog, time.Duration((1+0.2*rng.NormFloat64())*float64(took(backlog))))
 			}
 			for _, backlog := range []time.Duration{50 * time.Millisecond, 200 * time.Millisecond} {
-				seen := float64(took(backlog))
-				Expect(float64(h.BaseDelay() + h.BacklogDelay(backlog))).To(BeNumerically("~", seen, 0.15*seen))
+				actual := float64(took(backlog))
+				Expect(float64(h.BaseDelay() + h.BacklogDelay(backlog))).To(BeNumerically("~", actual, 0.15*actual))
 			}
 		},
-		Entry("in full", 10*time.Millisecond, 1.0),
-		Entry("a part of it", 20*time.Millisecond, 0.2),
+		Entry("the whole backlog", 10*time.Millisecond, 1.0),
+		Entry("a fraction of it", 20*time.Millisecond, 0.2),
 		Entry("nothing", 40*time.Millisecond, 0.0),
 	)
 
-	It("begins at its prior, follows what it sees and bounds a single surprise", func() {
+	It("starts from its prior, follows observations and bounds outliers", func() {
 		h := predict.NewHandoverModel(15 * time.Millisecond)
 		Expect(h.BaseDelay()).To(Equal(15 * time.Millisecond))
 		for range 100 {
--- a/internal/decide/queue/queue.go
+++ b/internal/decide/queue/queue.go
@@ -1,16 +1,16 @@
-// Package queue orders the work that waits at a sidecar.
+// Package queue schedules the requests that are queued at a sidecar.
 //
-// It answers long work among short, and callers who fill the queue. First in,
-// first out lets a lookup wait behind a portfolio of fifty thousand tokens,
-// which one notices by a first-token tail as long as the longest prompt; by
-// shortest job first the long ones never run. Here items wait in lanes by
-// class and size, lanes share the engine by weight, callers within a lane by
-// the work that they have had, and what is left is ordered by deadline. What
-// has expired is taken out before it costs anything.
+// It guards against short requests stuck behind long ones, and callers that fill the queue.
+// With first in, first out, a lookup waits behind a prompt of 50,000 tokens; symptom: the
+// tail of the time to first token is as long as the longest prefill. With shortest job
+// first, long requests starve. Instead, items are queued in lanes by class and size; lanes
+// share the engine by weight (stride scheduling), callers within a lane by the work served
+// to them, and items of equally served callers are ordered by deadline. Expired items are
+// removed before they cost anything.
 //
-// Room is counted in batch slots and KV cache pieces, never in requests: ten
-// long prompts fill the cache that a hundred short ones leave half empty, and
-// an engine past its cache preempts work that it has begun.
+// Capacity is counted in batch slots and KV cache blocks, never in requests: ten long
+// prompts fill a cache that a hundred short ones leave half empty, and an engine whose
+// cache is full preempts requests that it has started.
 package queue
 
 import (
@@ -19,48 +19,48 @@
 )
 
 const (
-	// DefaultItems bounds the items that wait: at a drain of even a hundred
-	// items a second, more would be past their deadlines.
-	DefaultItems = 2_000
-	// DefaultPieceTokens is the size of a KV cache piece.
-	DefaultPieceTokens = 2_000
-	// DefaultLong is the prompt size, in tokens, from which an item waits in
-	// the long lane of its class: about four pieces, which one engine
-	// prefills in roughly a second.
-	DefaultLong = 8_000
-	// DefaultLongShare is the long lane's share of its class when both wait.
+	// DefaultMaxItems is the maximum number of queued items. Even at 100 completed items
+	// per second, more would miss their deadlines.
+	DefaultMaxItems = 2_000
+	// DefaultKVBlockTokens is the size of a KV cache block.
+	DefaultKVBlockTokens = 2_000
+	// DefaultLongPromptTokens is the number of uncached prompt tokens from which an item
+	// uses the long lane of its class: about four blocks, which one engine prefills in
+	// roughly 1 s.
+	DefaultLongPromptTokens = 8_000
+	// DefaultLongShare is the long lane's share of its class while both lanes have items.
 	DefaultLongShare = 0.5
-	// DefaultQuantum is how much more work, in tokens, a caller may have had
-	// than the least served one and still go by its deadline alone. One long
-	// prompt: finer would undo deadline order among equals.
-	DefaultQuantum = 8_000
-	// DefaultHold is how long an item that does not fit into the free pieces
-	// may be passed by ones that do; then room is kept for it.
-	DefaultHold = time.Second
-	// OutputCost is what one output token costs in prompt tokens, for sharing.
+	// DefaultMaxServiceLead is how much more work, in tokens, a caller may have been served
+	// than the least served one and still be ordered by deadline alone. It is one long
+	// prompt: less would override the deadline order among equally served callers.
+	DefaultMaxServiceLead = 8_000
+	// DefaultReserveAfter is how long an item that does not fit into the free blocks may be
+	// passed over by items that do, before capacity is reserved for it.
+	DefaultReserveAfter = time.Second
+	// OutputCost is the cost of an output token in prompt tokens, for sharing.
 	OutputCost = 8
 )
 
-// DefaultClassWeights is the weight of class 0, 1, 2 and so on; a class past
-// its end has the last weight. Lookups come before drafts, drafts before
-// background work, and none of them stops.
+// DefaultClassWeights holds the weights of class 0, 1, 2 and so on; further classes have
+// the last weight. Lookups are preferred to drafts, drafts to background work, and none of
+// them starves.
 var DefaultClassWeights = []float64{8, 4, 1}
 
-// Config sets a Queue. The zero value of a field means its default.
+// Config configures a Queue. A zero field means its default.
 type Config struct {
 	MaxItems         int
 	PieceTokens      int
 	LongPromptTokens int
 	LongShare        float64
-	Quantum          float64
-	Hold             time.Duration
+	MaxServiceLead   float64
+	ReserveAfter     time.Duration
 	ClassWeights     []float64
-	// Pieces is the KV cache of the engine; an item that needs more is
-	// refused. 0 means that it is not known.
+	// Pieces is the size of the engine's KV cache in blocks; an item that needs more is
+	// rejected. 0 means unknown.
 	Pieces int
 }
 
-// Item is one request that waits.
+// Item is a queued request.
 type Item struct {
 	ID     string
 	Class  int
@@ -68,28 +68,29 @@
 	// Weight scales the caller's share; 0 means 1.
 	Weight       float64
 	PromptTokens int
-	// CachedTokens of the prompt need no prefill.
+	// CachedTokens is the number of prompt tokens that need no prefill.
 	CachedTokens int
 	OutputTokens int
 	Deadline     time.Time
-	// RunTime is how long the item takes once started; 0 if not known.
+	// RunTime is the expected run time once started; 0 if unknown.
 	RunTime time.Duration
 }
 
-// Room is what an engine can take now.
+// Capacity is the free capacity of an engine: batch slots and KV cache blocks.
 type Capacity struct {
 	Slots  int
 	Pieces int
 }
 
-// Reason says why an item was taken out without running.
+// Reason is the reason why an item was removed without running.
 type Reason uint8
 
 // The reasons.
 const (
-	// Expired: the deadline can no longer be met.
+	// Expired means that the deadline can no longer be met.
 	Expired Reason = iota
-	// Displaced: the queue was full and its caller held most of it.
+	// Displaced means that the queue was full and that its caller had the most work in
+	// it.
 	Displaced
 )
 
@@ -100,41 +101,42 @@
 	return "expired while queued"
 }
 
-// Removed is an item that the owner has to answer: it has not run.
+// Removed is an item that was removed without running. The queue's owner must answer its
+// request.
 type Removed struct {
 	Item
 	Reason Reason
 }
 
-// Queue holds the items that wait at one sidecar. Its methods are for one
-// goroutine.
+// Queue holds the queued items of one sidecar. It is not safe for concurrent use.
 type Queue struct {
 	cfg Config
-	// lanes are two for each class, short and long, in that order.
+	// lanes holds two lanes per class: short, then long.
 	lanes   []lane
-	byID    map[string]*entry
+	byID    map[string]*queuedItem
 	callers map[string]*caller
-	// served is the virtual time: the service of the least served caller
-	// that waits.
-	served float64
-	// pass is the virtual time of the lanes.
-	pass      float64
-	tokens    int
-	drainRate float64
-	displaced []Removed
-	// held is the item that room is kept for, since heldAt.
-	held   string
-	heldAt time.Time
-	serial uint64
+	// virtualService is the virtual time of the callers: the service received by the least
+	// served caller with queued items.
+	virtualService float64
+	// virtualPass is the virtual time of the lanes.
+	virtualPass float64
+	tokens      int
+	drainRate   float64
+	displaced   []Removed
+	// reservedFor is the ID of the item for which capacity is reserved once it has been
+	// passed over for ReserveAfter since passedOverSince.
+	reservedFor     string
+	passedOverSince time.Time
+	serial          uint64
 }
 
 type lane struct {
-	entries []*entry
-	pass    float64
-	weight  float64
+	items  []*queuedItem
+	pass   float64
+	weight float64
 }
 
-type entry struct {
+type queuedItem struct {
 	Item
 	lane   *lane
 	cost   float64
@@ -142,135 +144,135 @@
 }
 
 type caller struct {
-	served float64
-	queued float64
-	items  int
+	served      float64
+	queuedCost  float64
+	queuedItems int
 }
 
 // New returns an empty Queue.
 func New(cfg Config) *Queue {
-	cfg.MaxItems = cmp.Or(cfg.MaxItems, DefaultItems)
-	cfg.PieceTokens = cmp.Or(cfg.PieceTokens, DefaultPieceTokens)
-	cfg.LongPromptTokens = cmp.Or(cfg.LongPromptTokens, DefaultLong)
+	cfg.MaxItems = cmp.Or(cfg.MaxItems, DefaultMaxItems)
+	cfg.PieceTokens = cmp.Or(cfg.PieceTokens, DefaultKVBlockTokens)
+	cfg.LongPromptTokens = cmp.Or(cfg.LongPromptTokens, DefaultLongPromptTokens)
 	cfg.LongShare = cmp.Or(cfg.LongShare, DefaultLongShare)
-	cfg.Quantum = cmp.Or(cfg.Quantum, DefaultQuantum)
-	cfg.Hold = cmp.Or(cfg.Hold, DefaultHold)
+	cfg.MaxServiceLead = cmp.Or(cfg.MaxServiceLead, DefaultMaxServiceLead)
+	cfg.ReserveAfter = cmp.Or(cfg.ReserveAfter, DefaultReserveAfter)
 	if len(cfg.ClassWeights) == 0 {
 		cfg.ClassWeights = DefaultClassWeights
 	}
 	return &Queue{
 		cfg:     cfg,
 		lanes:   newLanes(cfg),
-		byID:    make(map[string]*entry),
+		byID:    make(map[string]*queuedItem),
 		callers: make(map[string]*caller),
 	}
 }
 
-// SetDrainRate tells the cost tokens a second that the engine finishes when
-// busy, for the waits that refusals quote.
+// SetDrainRate sets the rate, in cost tokens per second, at which the busy engine completes
+// work. It determines the retry delay of rejected items.
 func (q *Queue) SetDrainRate(tokens float64) { q.drainRate = tokens }
 
-// Len returns how many items wait.
+// Len returns the number of queued items.
 func (q *Queue) Len() int { return len(q.byID) }
 
-// QueuedTokens returns the uncached prompt tokens that wait.
+// QueuedTokens returns the number of uncached prompt tokens of all queued items.
 func (q *Queue) QueuedTokens() int { return q.tokens }
 
-// Cost returns the work of an item in prompt-token equivalents.
+// Cost returns the cost of an item in prompt-token equivalents.
 func Cost(promptTokens, cachedTokens, outputTokens int) int {
 	return max(1, promptTokens-cachedTokens+OutputCost*outputTokens)
 }
 
-// Push adds an item, or says after which time it is worth trying again. A full
-// queue displaces an item of the caller that holds most of it, if that is
-// another one; Expired returns it.
+// Push adds an item, or returns the delay after which to retry. If the queue is full, it
+// displaces an item of the caller with the most work queued, if that is another caller;
+// TakeExpired returns the displaced item.
 func (q *Queue) Push(now time.Time, i Item) (ok bool, retryAfter time.Duration) {
 	if _, ok := q.byID[i.ID]; ok {
 		return true, 0
 	}
-	if q.cfg.Pieces > 0 && q.pieces(i) > q.cfg.Pieces {
+	if q.cfg.Pieces > 0 && q.kvBlocks(i) > q.cfg.Pieces {
 		return false, 0
 	}
-	if hopeless(now, i) {
-		return false, q.drainTime()
+	if missesDeadline(now, i) {
+		return false, q.drainDuration()
 	}
-	e := q.entry(i)
-	if len(q.byID) >= q.cfg.MaxItems && !q.displace(e) {
-		return false, q.drainTime()
+	item := q.newQueuedItem(i)
+	if len(q.byID) >= q.cfg.MaxItems && !q.displace(item) {
+		return false, q.drainDuration()
 	}
-	q.add(e)
+	q.add(item)
 	return true, 0
 }
 
-// Remove takes out an item that was cancelled. It reports whether it waited.
+// Remove removes a cancelled item and reports whether it was queued.
 func (q *Queue) Remove(id string) bool {
-	e, ok := q.byID[id]
+	item, ok := q.byID[id]
 	if ok {
-		q.remove(e)
+		q.remove(item)
 	}
 	return ok
 }
 
-// Expired takes out what can no longer meet its deadline, and returns it with
-// what was displaced. None of it has run.
+// TakeExpired removes the items that can no longer meet their deadline and returns them
+// together with displaced items. None of them has run.
 func (q *Queue) TakeExpired(now time.Time) []Removed {
 	removed := q.displaced
 	q.displaced = nil
-	var late []*entry
+	var late []*queuedItem
 	for _, l := range q.lanes {
-		for _, e := range l.entries {
-			if hopeless(now, e.Item) {
-				late = append(late, e)
+		for _, item := range l.items {
+			if missesDeadline(now, item.Item) {
+				late = append(late, item)
 			}
 		}
 	}
-	for _, e := range late {
-		q.remove(e)
-		removed = append(removed, Removed{Item: e.Item, Reason: Expired})
+	for _, item := range late {
+		q.remove(item)
+		removed = append(removed, Removed{Item: item.Item, Reason: Expired})
 	}
 	return removed
 }
 
-// Pop takes out the item to run next in the given room. It never returns an
-// item whose deadline can no longer be met.
-func (q *Queue) Pop(now time.Time, room Capacity) (Item, bool) {
-	if room.Slots <= 0 {
+// Pop removes and returns the item to run next with the given free capacity. It never
+// returns an item that can no longer meet its deadline.
+func (q *Queue) Pop(now time.Time, free Capacity) (Item, bool) {
+	if free.Slots <= 0 {
 		return Item{}, false
 	}
 	q.advance()
 	for _, l := range q.lanesByPass() {
-		e := q.next(now, l, room)
-		if e == nil {
+		item := q.next(now, l, free)
+		if item == nil {
 			continue
 		}
-		if q.blocked(now, e, room) {
+		if q.takesReservedCapacity(now, item, free) {
 			return Item{}, false
 		}
-		q.charge(l, e)
-		q.remove(e)
-		return e.Item, true
+		q.charge(l, item)
+		q.remove(item)
+		return item.Item, true
 	}
 	return Item{}, false
 }
 
-func hopeless(now time.Time, i Item) bool {
+func missesDeadline(now time.Time, i Item) bool {
 	return !i.Deadline.IsZero() && now.Add(i.RunTime).After(i.Deadline)
 }
 
-func (q *Queue) drainTime() time.Duration {
+func (q *Queue) drainDuration() time.Duration {
 	if q.drainRate <= 0 {
 		return time.Second
 	}
 	return time.Duration(float64(q.tokens) / q.drainRate * float64(time.Second))
 }
 
-func (q *Queue) pieces(i Item) int {
+func (q *Queue) kvBlocks(i Item) int {
 	return (i.PromptTokens + i.OutputTokens + q.cfg.PieceTokens - 1) / q.cfg.PieceTokens
 }
 
-func (q *Queue) entry(i Item) *entry {
+func (q *Queue) newQueuedItem(i Item) *queuedItem {
 	q.serial++
-	return &entry{
+	return &queuedItem{
 		Item:   i,
 		lane:   q.laneOf(i),
 		cost:   float64(Cost(i.PromptTokens, i.CachedTokens, i.OutputTokens)) / cmp.Or(i.Weight, 1),
--- a/internal/decide/queue/queue_test.go
+++ b/internal/decide/queue/queue_test.go
@@ -14,7 +14,7 @@
 	"pistachioroad.dev/pistachioroad/internal/decide/queue"
 )
 
-// TestMain fixes the seed of the randomised runs; -rapid.seed tries another.
+// TestMain fixes the seed of the property tests; the flag -rapid.seed overrides it.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	flag.Parse()
@@ -30,7 +30,7 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-var room = queue.Capacity{Slots: 1, Pieces: 1_000}
+var free = queue.Capacity{Slots: 1, Pieces: 1_000}
 
 func item(id, caller string, prompt int) queue.Item {
 	return queue.Item{ID: id, Caller: caller, PromptTokens: prompt, Deadline: at(time.Minute)}
@@ -39,7 +39,7 @@
 func pops(q *queue.Queue, now time.Time, n int) []queue.Item {
 	var items []queue.Item
 	for range n {
-		if i, ok := q.Pop(now, room); ok {
+		if i, ok := q.Pop(now, free); ok {
 			items = append(items, i)
 		}
 	}
@@ -47,38 +47,36 @@
 }
 
 var _ = Describe("Queue", func() {
-	// A booker's short reply comes in behind twenty portfolios of another
-	// office. In the order of arrival it would wait for a million tokens, and
-	// the call would be over.
-	It("does not let short work wait for long work", func() {
+	// Guards against head-of-line blocking: in arrival order, a short request would wait
+	// behind twenty prompts of 50,000 tokens each and miss its deadline.
+	It("does not queue short requests behind long ones", func() {
 		q := queue.New(queue.Config{})
 		for i := range 20 {
-			q.Push(start, item(fmt.Sprintf("long-%d", i), "archive", 50_000))
+			q.Push(start, item(fmt.Sprintf("long-%d", i), "batch", 50_000))
 		}
-		q.Push(start, item("short", "booker", 500))
+		q.Push(start, item("short", "interactive", 500))
 		Expect(pops(q, start, 2)).To(ContainElement(HaveField("ID", "short")))
 	})
 
-	// Short replies come without end. By shortest job first the one long read
-	// would never start.
-	It("does not starve long work", func() {
+	// Guards against starvation: with shortest job first, a long request would never start
+	// while short ones keep arriving.
+	It("does not starve long requests", func() {
 		q := queue.New(queue.Config{})
-		q.Push(start, item("long", "archive", 50_000))
-		served := 1_000
+		q.Push(start, item("long", "batch", 50_000))
+		poppedAt := 1_000
 		for i := range 1_000 {
-			q.Push(start, item(fmt.Sprintf("short-%d", i), "booker", 500))
-			if popped, _ := q.Pop(start, room); popped.ID == "long" {
-				served = i
+			q.Push(start, item(fmt.Sprintf("short-%d", i), "interactive", 500))
+			if popped, _ := q.Pop(start, free); popped.ID == "long" {
+				poppedAt = i
 				break
 			}
 		}
-		Expect(served).To(BeNumerically("<", 200))
+		Expect(poppedAt).To(BeNumerically("<", 200))
 		Expect(q.Remove("long")).To(BeFalse(), "it has been served")
 	})
 
-	// One office fills the queue with its month's reports. Everyone else
-	// would wait behind all of them.
-	It("serves callers in turn, whatever one of them has queued", func() {
+	// Guards against one caller that fills the queue: all others would wait behind it.
+	It("serves callers in turn, regardless of how much one of them has queued", func() {
 		q := queue.New(queue.Config{})
 		for i := range 500 {
 			q.Push(start, item(fmt.Sprintf("heavy-%d", i), "heavy", 4_000))
@@ -87,23 +85,23 @@
 		Expect(pops(q, start, 5)).To(ContainElement(HaveField("ID", "light")))
 	})
 
-	It("goes by deadline among callers that have had alike", func() {
+	It("orders items of equally served callers by deadline", func() {
 		q := queue.New(queue.Config{})
-		for i, left := range []time.Duration{30, 10, 20} {
-			x := item(fmt.Sprintf("due-%d", left), fmt.Sprintf("caller-%d", i), 1_000)
-			x.Deadline = at(left * time.Second)
+		for i, seconds := range []time.Duration{30, 10, 20} {
+			x := item(fmt.Sprintf("due-%d", seconds), fmt.Sprintf("caller-%d", i), 1_000)
+			x.Deadline = at(seconds * time.Second)
 			q.Push(start, x)
 		}
 		Expect(pops(q, start, 3)).To(HaveExactElements(
 			HaveField("ID", "due-10"), HaveField("ID", "due-20"), HaveField("ID", "due-30")))
 	})
 
-	// The sidecar was paused; what it holds is past its deadline. Started
-	// now, it would cost engine time for answers that nobody waits for.
-	It("never starts what is past its deadline, and hands it back", func() {
+	// Guards against wasted engine time: after a pause of the sidecar, its queued requests
+	// are past their deadlines and nobody waits for the answers.
+	It("never starts an item past its deadline, and returns it as expired", func() {
 		q := queue.New(queue.Config{})
-		q.Push(start, item("late", "booker", 1_000))
-		_, ok := q.Pop(at(2*time.Minute), room)
+		q.Push(start, item("late", "interactive", 1_000))
+		_, ok := q.Pop(at(2*time.Minute), free)
 		Expect(ok).To(BeFalse())
 		Expect(q.TakeExpired(at(2 * time.Minute))).To(HaveExactElements(
 			And(HaveField("ID", "late"), HaveField("Reason", queue.Expired))))
@@ -111,7 +109,7 @@
 		Expect(q.QueuedTokens()).To(BeZero())
 	})
 
-	It("displaces the heaviest caller's work when full, and no one else's", func() {
+	It("displaces only the heaviest caller's items when full", func() {
 		q := queue.New(queue.Config{MaxItems: 10})
 		for i := range 10 {
 			q.Push(start, item(fmt.Sprintf("heavy-%d", i), "heavy", 4_000))
@@ -123,50 +121,50 @@
 		Expect(ok).To(BeFalse())
 	})
 
-	// Short prompts keep taking the pieces that come free, so that a prompt
-	// which needs many of them at once never fits.
-	It("keeps room for a long prompt that has been passed by", func() {
+	// Guards against starvation by size: while short prompts take each freed block, a
+	// prompt that needs many blocks at the same time never fits.
+	It("reserves capacity for a long prompt that has been passed over", func() {
 		q := queue.New(queue.Config{})
-		q.Push(start, item("long", "archive", 100_000))
+		q.Push(start, item("long", "batch", 100_000))
 		for i := range 50 {
-			q.Push(start, item(fmt.Sprintf("short-%d", i), "booker", 500))
+			q.Push(start, item(fmt.Sprintf("short-%d", i), "interactive", 500))
 		}
-		narrow := queue.Capacity{Slots: 1, Pieces: 20}
+		small := queue.Capacity{Slots: 1, Pieces: 20}
 		for range 2 {
-			_, ok := q.Pop(start, narrow)
-			Expect(ok).To(BeTrue(), "the hold is not over yet")
+			_, ok := q.Pop(start, small)
+			Expect(ok).To(BeTrue(), "capacity is not reserved yet")
 		}
-		var passed int
+		var popped int
 		for range 50 {
-			if _, ok := q.Pop(at(2*time.Second), narrow); ok {
-				passed++
+			if _, ok := q.Pop(at(2*time.Second), small); ok {
+				popped++
 			}
 		}
-		Expect(passed).To(BeZero())
+		Expect(popped).To(BeZero())
 		i, _ := q.Pop(at(3*time.Second), queue.Capacity{Slots: 1, Pieces: 60})
 		Expect(i.ID).To(Equal("long"))
 	})
 
-	It("refuses what can never fit", func() {
+	It("rejects an item that can never fit", func() {
 		q := queue.New(queue.Config{Pieces: 10})
-		ok, _ := q.Push(start, item("huge", "archive", 100_000))
+		ok, _ := q.Push(start, item("huge", "batch", 100_000))
 		Expect(ok).To(BeFalse())
 	})
 })
 
-// Whatever comes in which order, each item that was let in leaves the queue
-// exactly once: popped in time, cancelled, or handed back. One that is lost
-// leaves its caller without an answer, one that leaves twice runs twice.
+// Checks that each item leaves the queue exactly once, whatever the order of operations:
+// popped in time, cancelled, or returned as expired or displaced. A lost item leaves its
+// caller without an answer; one that leaves twice runs twice.
 func TestEachItemLeavesOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q := queue.New(queue.Config{MaxItems: 8, Hold: 2 * time.Second})
+		q := queue.New(queue.Config{MaxItems: 8, ReserveAfter: 2 * time.Second})
 		now := start
-		waiting := make(map[string]queue.Item)
+		queuedItems := make(map[string]queue.Item)
 		leave := func(i queue.Item) {
-			if _, ok := waiting[i.ID]; !ok {
-				t.Fatalf("%s left but did not wait", i.ID)
+			if _, ok := queuedItems[i.ID]; !ok {
+				t.Fatalf("item %s left the queue but was not queued", i.ID)
 			}
-			delete(waiting, i.ID)
+			delete(queuedItems, i.ID)
 		}
 		n := 0
 		t.Repeat(map[string]func(*rapid.T){
@@ -180,27 +178,27 @@
 					Deadline:     now.Add(time.Duration(rapid.IntRange(-1, 9).Draw(t, "left")) * time.Second),
 				}
 				if ok, _ := q.Push(now, i); ok {
-					waiting[i.ID] = i
+					queuedItems[i.ID] = i
 				}
 			},
 			"pop": func(t *rapid.T) {
-				room := queue.Capacity{Slots: 1, Pieces: rapid.IntRange(0, 20).Draw(t, "pieces")}
-				i, ok := q.Pop(now, room)
+				free := queue.Capacity{Slots: 1, Pieces: rapid.IntRange(0, 20).Draw(t, "pieces")}
+				i, ok := q.Pop(now, free)
 				if !ok {
 					return
 				}
 				if now.After(i.Deadline) {
-					t.Fatalf("%s started past its deadline", i.ID)
+					t.Fatalf("item %s started past its deadline", i.ID)
 				}
 				leave(i)
 			},
 			"remove": func(t *rapid.T) {
 				id := fmt.Sprint(rapid.IntRange(1, n+1).Draw(t, "id"))
-				_, waits := waiting[id]
-				if q.Remove(id) != waits && waits {
-					t.Fatalf("%s waits but was not removed", id)
+				_, queued := queuedItems[id]
+				if q.Remove(id) != queued && queued {
+					t.Fatalf("item %s is queued but was not removed", id)
 				}
-				delete(waiting, id)
+				delete(queuedItems, id)
 			},
 			"wait": func(*rapid.T) { now = now.Add(time.Second) },
 			"": func(t *rapid.T) {
@@ -208,19 +206,18 @@
 					leave(r.Item)
 				}
 				tokens := 0
-				for _, i := range waiting {
+				for _, i := range queuedItems {
 					tokens += i.PromptTokens
 				}
-				if q.Len() != len(waiting) || q.QueuedTokens() != tokens {
-					t.Fatalf("queue has %d items of %d tokens, want %d of %d", q.Len(), q.QueuedTokens(), len(waiting), tokens)
+				if q.Len() != len(queuedItems) || q.QueuedTokens() != tokens {
+					t.Fatalf("queue has %d items of %d tokens, want %d of %d", q.Len(), q.QueuedTokens(), len(queuedItems), tokens)
 				}
 			},
 		})
 	})
 }
 
-// BenchmarkPushPop goes through a queue of a thousand items of a hundred
-// callers.
+// BenchmarkPushPop runs on a queue of 1,000 items of 100 callers.
 func BenchmarkPushPop(b *testing.B) {
 	q := queue.New(queue.Config{})
 	push := func(n int) {
@@ -233,6 +230,6 @@
 	for b.Loop() {
 		push(n)
 		n++
-		q.Pop(start, room)
+		q.Pop(start, free)
 	}
 }
--- a/internal/decide/retry/sends_test.go
+++ b/internal/decide/retry/attempts_test.go
@@ -9,16 +9,16 @@
 	"pistachioroad.dev/pistachioroad/internal/decide/retry"
 )
 
-var _ = Describe("Sends", func() {
+var _ = Describe("AttemptLimiter", func() {
 	limit := retry.AttemptLimit{Share: 0.2, Slack: 80, Window: 10 * time.Second}
 
-	// A service fails every request. Eight entries send each of them again as
-	// often as they may; together they must stay within what the service bears.
-	It("keeps all entries together within the bound in a storm", func() {
-		const entries, perSecond = 8, 10
+	// Guards against retry storms: a service fails every request and eight gateways retry
+	// as often as they may. Together they must stay within the service's limit.
+	It("keeps all gateways together within the limit in a retry storm", func() {
+		const gateways, perSecond = 8, 10
 		extra := 0
 		var all []*retry.AttemptLimiter
-		for range entries {
+		for range gateways {
 			all = append(all, retry.NewAttemptLimiter(limit))
 		}
 		requests := 0
@@ -26,11 +26,11 @@
 			if ms%(1000/perSecond) != 0 {
 				continue
 			}
-			for _, s := range all {
+			for _, l := range all {
 				now := at(time.Duration(ms) * time.Millisecond)
-				s.CountRequest(now)
+				l.CountRequest(now)
 				requests++
-				for s.Allow(now, entries) {
+				for l.Allow(now, gateways) {
 					extra++
 				}
 			}
@@ -39,7 +39,7 @@
 		Expect(extra).To(BeNumerically(">", 80))
 	})
 
-	It("allows again once the window is over", func() {
+	It("allows attempts again after the window", func() {
 		s := retry.NewAttemptLimiter(retry.AttemptLimit{Slack: 1, Window: 10 * time.Second})
 		Expect(s.Allow(at(0), 1)).To(BeTrue())
 		Expect(s.Allow(at(5*time.Second), 1)).To(BeFalse())
--- a/internal/decide/retry/retry.go
+++ b/internal/decide/retry/retry.go
@@ -1,15 +1,14 @@
-// Package retry decides whether a failed attempt may be made once more.
+// Package retry decides whether a failed attempt may be retried.
 //
-// It answers failure storms. When many backend servers fail or refuse at once,
-// each failed attempt would otherwise be sent again, the retries would add to
-// the load that caused the failures, and a fleet that could serve nine tenths of
-// its load would serve nearly none; one notices by attempts rising while
-// answers fall. A Budget stops that: retried work is bounded by a share of the
-// work that succeeded, so retries die out when successes do.
+// It guards against retry storms. When many backend servers fail or reject requests at the
+// same time, retrying each failed attempt adds to the load that caused the failures, and a
+// fleet that could serve 90% of its load serves almost nothing. Symptom: the number of
+// attempts rises while that of answers falls. A Budget limits retried work to a fraction of
+// the work that succeeded, so that retries stop when successes do.
 //
-// The verdict comes first: what may have run and is not idempotent is never
-// sent again, whatever the budget holds. There is one layer of retries only,
-// in the entry; a sidecar never retries, or the two shares would multiply.
+// The verdict has precedence: a request that may have run and is not idempotent is never
+// retried, whatever the budget. Only the entry retries; if sidecars did as well, the two
+// shares would multiply.
 package retry
 
 import (
@@ -18,69 +17,69 @@
 )
 
 const (
-	// DefaultShare is how much work may be retried for each unit of work that
-	// succeeded. The fleet has no spare engine, so retries come out of goodput:
-	// a twentieth covers the everyday restarts and refusals and stays well
-	// under the tenth of the work that retries may never pass.
+	// DefaultShare is the amount of work that may be retried per unit of work that
+	// succeeded. The fleet has no spare engines, so retries reduce goodput: 5% covers
+	// everyday restarts and rejections and is well below MaxShare.
 	DefaultShare = 0.05
-	// MaxShare is the largest share that settings may ask for: retries are
-	// never more than a tenth of the work.
+	// MaxShare is the upper limit of a configured share: retries never exceed a tenth of
+	// the work.
 	MaxShare = 0.1
-	// DefaultHold is how long a success counts. Longer, and the calm before a
-	// storm would pay for the storm.
-	DefaultHold = 10 * time.Second
-	// DefaultFloor is the work, in tokens, that a Budget may retry with no
-	// success to pay for it, once per hold: one ordinary prompt, so that an
-	// idle entry can still retry its only request.
+	// DefaultDecayTime is the time constant with which the credit of successes decays. With
+	// a longer one, credit from before a failure storm would feed retries during it.
+	DefaultDecayTime = 10 * time.Second
+	// DefaultFloor is the work, in tokens, that a Budget may retry per decay time without
+	// any success: one ordinary prompt, so that an idle entry can still retry its only
+	// request.
 	DefaultFloor = 4_000
 )
 
-// Config sets a Budget. The zero value of a field means its default.
+// Config configures a Budget. A zero field means its default.
 type Config struct {
-	// Share is retried work per work that succeeded, in (0, MaxShare]; more is
-	// cut to that.
-	Share float64
-	Hold  time.Duration
-	// Floor is in tokens per Hold.
+	// Share is the retried work per unit of work that succeeded, in (0, MaxShare]; larger
+	// values are reduced to MaxShare.
+	Share     float64
+	DecayTime time.Duration
+	// Floor is in tokens per DecayTime.
 	Floor float64
 }
 
-// Attempt describes the failed attempt.
+// Attempt describes a failed attempt.
 type Attempt struct {
-	// NotRun says that the attempt certainly did not run.
+	// NotRun is set if the attempt certainly did not run.
 	NotRun bool
-	// Idempotent says that running twice does no harm.
+	// Idempotent is set if running the request twice does no harm.
 	Idempotent bool
-	// CostTokens is the work of one more attempt.
+	// CostTokens is the cost of another attempt.
 	CostTokens int
-	// Remaining is what is left of the request's deadline, and RunTime how
-	// long another attempt is expected to take.
+	// Remaining is the time until the request's deadline, RunTime the expected time of
+	// another attempt.
 	Remaining, RunTime time.Duration
 }
 
 // Budget is the retry budget of one entry.
 type Budget struct {
 	cfg Config
-	// tokens may be retried now; it decays, so that old successes stop paying.
-	tokens float64
-	at     time.Time
+	// tokens is the work that may be retried now. It decays, so that old successes stop
+	// counting.
+	tokens    float64
+	updatedAt time.Time
 }
 
-// New returns a Budget that holds its floor.
+// New returns a Budget that starts at its floor.
 func New(cfg Config) *Budget {
 	cfg.Share = min(MaxShare, cmp.Or(cfg.Share, DefaultShare))
-	cfg.Hold = cmp.Or(cfg.Hold, DefaultHold)
+	cfg.DecayTime = cmp.Or(cfg.DecayTime, DefaultDecayTime)
 	cfg.Floor = cmp.Or(cfg.Floor, DefaultFloor)
 	return &Budget{cfg: cfg, tokens: cfg.Floor}
 }
 
-// Succeeded pays the budget for an answer that took costTokens of work.
+// Succeeded adds credit for an answer that cost costTokens.
 func (b *Budget) Succeeded(now time.Time, costTokens int) {
 	b.advance(now)
 	b.tokens += b.cfg.Share * float64(costTokens)
 }
 
-// Allow reports whether a may be sent again, and takes its cost when it may.
+// Allow reports whether a may be retried, and deducts its cost if so.
 func (b *Budget) Allow(now time.Time, a Attempt) bool {
 	b.advance(now)
 	if !a.NotRun && !a.Idempotent {
@@ -96,17 +95,17 @@
 	return true
 }
 
-// advance moves the balance towards the floor: what is above it decays, what
-// is below it refills.
+// advance moves the balance towards the floor: credit above it decays, a deficit below it
+// is refilled.
 func (b *Budget) advance(now time.Time) {
-	if b.at.IsZero() {
-		b.at = now
+	if b.updatedAt.IsZero() {
+		b.updatedAt = now
 	}
-	dt := now.Sub(b.at)
+	dt := now.Sub(b.updatedAt)
 	if dt <= 0 {
 		return
 	}
-	b.at = now
-	part := min(1, dt.Seconds()/b.cfg.Hold.Seconds())
-	b.tokens += (b.cfg.Floor - b.tokens) * part
+	b.updatedAt = now
+	fraction := min(1, dt.Seconds()/b.cfg.DecayTime.Seconds())
+	b.tokens += (b.cfg.Floor - b.tokens) * fraction
 }
--- a/internal/decide/retry/retry_test.go
+++ b/internal/decide/retry/retry_test.go
@@ -20,9 +20,9 @@
 func at(d time.Duration) time.Time { return start.Add(d) }
 
 var _ = Describe("Budget", func() {
-	// A backend server breaks off while it registers a lot. Sent again, the
-	// lot is registered twice and two bars stand under one seal.
-	It("never repeats what may have run and is not idempotent", func() {
+	// Guards against running a request twice: a connection to a backend server breaks while
+	// it may be running a request with side effects.
+	It("never retries a request that may have run and is not idempotent", func() {
 		b := retry.New(retry.Config{})
 		b.Succeeded(start, 1_000_000)
 		Expect(b.Allow(start, retry.Attempt{CostTokens: 1, Remaining: time.Minute})).To(BeFalse())
@@ -30,11 +30,11 @@
 		Expect(b.Allow(start, retry.Attempt{Idempotent: true, CostTokens: 1, Remaining: time.Minute})).To(BeTrue())
 	})
 
-	// A rack fails and half of all attempts with it. Were each sent again
-	// until it succeeds, the other half of the fleet would carry twice its
-	// load, and callers there would wait as well.
-	It("keeps retries under a tenth of the work in a storm", func() {
-		b := retry.New(retry.Config{Share: 0.5}) // More than may be had.
+	// Guards against retry storms: half of the backend servers fail. If each failed attempt
+	// were retried until it succeeds, the other half would carry twice its load, and its
+	// callers would wait as well.
+	It("keeps retries below a tenth of the work in a retry storm", func() {
+		b := retry.New(retry.Config{Share: 0.5}) // Above MaxShare.
 		work, retried := 0, 0
 		for i := range 60_000 {
 			now := at(time.Duration(i) * time.Millisecond)
@@ -51,7 +51,7 @@
 		Expect(retried).To(BeNumerically(">", 0))
 	})
 
-	It("stops soon after the successes have stopped", func() {
+	It("stops soon after successes stop", func() {
 		b := retry.New(retry.Config{})
 		b.Succeeded(start, 10_000_000)
 		allowed := 0
@@ -60,10 +60,10 @@
 				allowed++
 			}
 		}
-		Expect(allowed).To(BeNumerically("<=", 2*3_600/10), "the floor of 4,000 tokens in ten seconds")
+		Expect(allowed).To(BeNumerically("<=", 2*3_600/10), "twice the floor of 4,000 tokens per 10 s")
 	})
 
-	It("leaves an attempt alone that would be too late", func() {
+	It("rejects a retry that would miss the deadline", func() {
 		b := retry.New(retry.Config{})
 		a := retry.Attempt{NotRun: true, CostTokens: 1, Remaining: time.Second, RunTime: 2 * time.Second}
 		Expect(b.Allow(start, a)).To(BeFalse())
