--- a/internal/decide/quarantine/quarantine.go
+++ b/internal/decide/quarantine/quarantine.go
@@ -1,17 +1,19 @@
-// Package quarantine decides which requests are kept from all backend servers,
-// because servers ended while they ran them.
+// Package quarantine decides which requests are no longer sent to any backend server
+// because servers terminated while running them.
 //
-// It answers a request that crashes each server which runs it and comes again, under
-// another id and at any gateway. Sent on each time, it takes the servers of a service
-// away one after the other, with all that runs there; one notices by servers that end
-// seconds apart while none is under load. All that ran at a server that ended is under
-// suspicion, and all but one of it wrongly: a request is refused only once several
-// servers have ended under it, each under a try that began after the end before, and is
-// free of suspicion once it has ended well. Servers that are lost together are no
-// evidence against what many callers send to all of them.
+// It guards against a query of death: a request that crashes every server that runs it
+// and is retried under another id and at any gateway. Forwarded each time, it takes down
+// the servers of a service one after the other, with all requests that run there.
+// Symptom: servers terminate seconds apart while none is under load.
 //
-// What is known is a set of evidence that merges in any order and however often it is
-// told, so that gateways need no agreement. It is pure code; time is passed in.
+// All requests that ran at a terminated server are suspected, all but one of them
+// wrongly. A request is therefore quarantined only after several servers terminated
+// while running it, each in an attempt that began after the previous termination, and
+// is cleared when it completes. Servers that are lost together are no evidence against
+// a request that many callers send to all of them.
+//
+// Evidence is a set that merges in any order and tolerates duplicates, so that gateways
+// need no agreement. The package does no I/O; the caller passes the time.
 package quarantine
 
 import (
@@ -24,77 +26,78 @@
 )
 
 const (
-	// Limit is how many servers may end under a request.
+	// TerminationThreshold is the number of terminations from which a request is
+	// quarantined.
 	TerminationThreshold = 3
-	// keptFor is how long evidence counts: a mended version of the server may run the
-	// request by then.
-	keptFor = 10 * time.Minute
-	// mostRequests bounds the requests under suspicion, and mostInstances the servers
-	// that are noted for one.
-	mostRequests  = 2_048
-	mostInstances = 8
-	// tellFor is how long evidence is told again and again, so that lost messages are
-	// made up for; of requests that more than one server ended under, for as long as
-	// it counts.
-	tellFor = 3 * time.Second
+	// evidenceTTL is how long evidence counts. After that, a fixed version of the server
+	// may be able to run the request.
+	evidenceTTL = 10 * time.Minute
+	// maxRequests bounds the recorded requests, and maxInstances the terminations that are
+	// recorded for each.
+	maxRequests  = 2_048
+	maxInstances = 8
+	// announceFor is how long evidence is announced repeatedly, to make up for lost
+	// messages. Evidence on a request with more than one termination is announced for
+	// as long as it counts.
+	announceFor = 3 * time.Second
 )
 
-// Evidence says that an instance ended while it ran a request. Of the zero Instance it
-// says that the request ended well.
+// Evidence records that an instance terminated while it ran a request, or, with a zero
+// Instance, that the request completed.
 type Evidence struct {
 	Request  request.Fingerprint
 	Instance backend.Instance
-	// Began is when the request was sent there, At when its end was seen.
+	// SentAt is when the request was sent to the instance, ObservedAt when the termination
+	// or the completion was observed.
 	SentAt, ObservedAt time.Time
 }
 
-// endedWell reports whether it clears the request.
-func (e Evidence) endedWell() bool { return e.Instance == backend.Instance{} }
+// completed reports whether the evidence clears the request.
+func (e Evidence) completed() bool { return e.Instance == backend.Instance{} }
 
-// Standing is what the evidence says of a request.
+// Status is the quarantine status of a request.
 type Status struct {
-	// Ended are the instances that ended under it, the first one first.
+	// Terminations are the terminations that count against the request, oldest first.
 	Terminations []Evidence
-	// Refuse says that it is not to be sent to any server, for RetryAfter from now.
+	// Quarantined says that the request must not be sent to any server for RetryAfter.
 	Quarantined bool
 	RetryAfter  time.Duration
 }
 
-// Suspect reports whether a server has ended under it.
+// Suspected reports whether a server terminated while running the request.
 func (s Status) Suspected() bool { return len(s.Terminations) > 0 }
 
-// List is the evidence that one gateway knows. Its methods are for one goroutine at a
-// time.
+// List holds the evidence that one gateway knows. It is not safe for concurrent use.
 type List struct {
 	records map[request.Fingerprint]*record
 }
 
-// record is the evidence on one request.
+// record holds the evidence on one request.
 type record struct {
-	request request.Fingerprint
-	ended   []Evidence
-	// clearedAt is when it last ended well.
+	request      request.Fingerprint
+	terminations []Evidence
+	// clearedAt is when the request last completed.
 	clearedAt time.Time
 }
 
-// New returns a List without evidence.
+// New returns an empty List.
 func New() *List { return &List{records: make(map[request.Fingerprint]*record)} }
 
-// Len returns how many requests there is evidence on.
+// Len returns the number of requests with evidence.
 func (l *List) Len() int { return len(l.records) }
 
-// Add takes in evidence and reports whether it was new.
+// Add merges evidence and reports whether it was new.
 func (l *List) Add(now time.Time, e Evidence) bool {
-	if now.Sub(e.ObservedAt) >= keptFor {
+	if now.Sub(e.ObservedAt) >= evidenceTTL {
 		return false
 	}
 	r, ok := l.records[e.Request]
 	if !ok {
-		l.makeRoom(now)
+		l.evictLeastSuspected(now)
 		r = &record{request: e.Request}
 		l.records[e.Request] = r
 	}
-	if e.endedWell() {
+	if e.completed() {
 		return r.clear(e)
 	}
 	return r.add(e)
@@ -105,67 +108,68 @@
 		return false
 	}
 	r.clearedAt = e.ObservedAt
-	r.ended = slices.DeleteFunc(r.ended, func(o Evidence) bool { return !o.ObservedAt.After(e.ObservedAt) })
+	r.terminations = slices.DeleteFunc(r.terminations, func(o Evidence) bool { return !o.ObservedAt.After(e.ObservedAt) })
 	return true
 }
 
 func (r *record) add(e Evidence) bool {
-	i := slices.IndexFunc(r.ended, func(o Evidence) bool { return o.Instance == e.Instance })
+	i := slices.IndexFunc(r.terminations, func(o Evidence) bool { return o.Instance == e.Instance })
 	switch {
 	case i >= 0:
-		// Of several tries there, the last one to begin counts.
-		if !e.SentAt.After(r.ended[i].SentAt) {
+		// Of several attempts at an instance, the latest counts.
+		if !e.SentAt.After(r.terminations[i].SentAt) {
 			return false
 		}
-		r.ended[i].SentAt = e.SentAt
+		r.terminations[i].SentAt = e.SentAt
 		return true
 	case !e.ObservedAt.After(r.clearedAt):
 		return false
 	}
-	r.ended = append(r.ended, e)
-	slices.SortFunc(r.ended, func(a, b Evidence) int {
+	r.terminations = append(r.terminations, e)
+	slices.SortFunc(r.terminations, func(a, b Evidence) int {
 		return cmp.Or(a.ObservedAt.Compare(b.ObservedAt), cmp.Compare(a.Instance.ID, b.Instance.ID))
 	})
-	return r.bound() != e.Instance
+	return r.trim() != e.Instance
 }
 
-// bound drops one end if there are too many, and returns its instance: the first one
-// that does not count, the oldest if all do.
-func (r *record) bound() backend.Instance {
-	if len(r.ended) <= mostInstances {
+// trim drops one termination if there are more than maxInstances and returns its
+// instance. It drops the first one that does not count, or the oldest if all count.
+func (r *record) trim() backend.Instance {
+	if len(r.terminations) <= maxInstances {
 		return backend.Instance{}
 	}
-	counted := r.inSequence()
-	i := slices.IndexFunc(r.ended, func(e Evidence) bool { return !slices.Contains(counted, e) })
-	dropped := r.ended[max(0, i)].Instance
-	r.ended = slices.Delete(r.ended, max(0, i), max(0, i)+1)
+	counted := r.sequential()
+	i := slices.IndexFunc(r.terminations, func(e Evidence) bool { return !slices.Contains(counted, e) })
+	dropped := r.terminations[max(0, i)].Instance
+	r.terminations = slices.Delete(r.terminations, max(0, i), max(0, i)+1)
 	return dropped
 }
 
-// Standing returns what is known of a request.
+// Status returns the quarantine status of a request.
 func (l *List) Status(now time.Time, f request.Fingerprint) Status {
 	r, ok := l.records[f]
 	if !ok {
 		return Status{}
 	}
 	r.expire(now)
-	if len(r.ended) == 0 {
+	if len(r.terminations) == 0 {
 		return Status{}
 	}
-	s := Status{Terminations: r.inSequence()}
+	s := Status{Terminations: r.sequential()}
 	if len(s.Terminations) >= TerminationThreshold {
 		s.Quarantined = true
-		// It is let in again once fewer than Limit count.
-		s.RetryAfter = s.Terminations[len(s.Terminations)-TerminationThreshold].ObservedAt.Add(keptFor).Sub(now)
+		// The request is admitted again once fewer than TerminationThreshold count.
+		s.RetryAfter = s.Terminations[len(s.Terminations)-TerminationThreshold].ObservedAt.Add(evidenceTTL).Sub(now)
 	}
 	return s
 }
 
-// inSequence returns the evidence of tries that each began after the end before.
-func (r *record) inSequence() []Evidence {
+// sequential returns the terminations that count: those of attempts that each began
+// after the previous termination that counts.
+func (r *record) sequential() []Evidence {
 	var counted []Evidence
 	var last time.Time
-	for _, e := range r.ended {
+	for _, e := range r.terminations {
 		if e.SentAt.After(last) {
 			counted = append(counted, e)
 			last = e.ObservedAt
@@ -175,68 +179,69 @@
 }
 
 func (r *record) expire(now time.Time) {
-	r.ended = slices.DeleteFunc(r.ended, func(e Evidence) bool { return now.Sub(e.ObservedAt) >= keptFor })
+	r.terminations = slices.DeleteFunc(r.terminations, func(e Evidence) bool { return now.Sub(e.ObservedAt) >= evidenceTTL })
 }
 
-// ToTell returns up to most pieces of evidence that others may not know yet, those on
-// the requests with the most ended servers first.
-func (l *List) PendingAnnouncements(now time.Time, most int) []Evidence {
+// PendingAnnouncements returns up to limit pieces of evidence that other gateways may not
+// know yet, starting with the requests that have the most terminations.
+func (l *List) PendingAnnouncements(now time.Time, limit int) []Evidence {
 	var records []*record
 	for f, r := range l.records {
 		r.expire(now)
 		switch {
-		case r.idle(now):
+		case r.expired(now):
 			delete(l.records, f)
-		case r.isToTell(now):
+		case r.pending(now):
 			records = append(records, r)
 		}
 	}
 	slices.SortFunc(records, func(a, b *record) int {
-		return cmp.Or(cmp.Compare(len(b.ended), len(a.ended)), b.last().Compare(a.last()))
+		return cmp.Or(cmp.Compare(len(b.terminations), len(a.terminations)), b.lastObserved().Compare(a.lastObserved()))
 	})
 	var all []Evidence
 	for _, r := range records {
-		all = append(all, r.ended...)
-		if len(r.ended) == 0 {
+		all = append(all, r.terminations...)
+		if len(r.terminations) == 0 {
 			all = append(all, Evidence{Request: r.request, ObservedAt: r.clearedAt})
 		}
-		if len(all) >= most {
-			return all[:most]
+		if len(all) >= limit {
+			return all[:limit]
 		}
 	}
 	return all
 }
 
-// idle reports whether nothing that the record says counts any more.
-func (r *record) idle(now time.Time) bool {
-	return len(r.ended) == 0 && now.Sub(r.clearedAt) >= keptFor
+// expired reports whether no evidence of the record counts any more.
+func (r *record) expired(now time.Time) bool {
+	return len(r.terminations) == 0 && now.Sub(r.clearedAt) >= evidenceTTL
 }
 
-func (r *record) isToTell(now time.Time) bool {
-	return len(r.ended) > 1 || now.Sub(r.last()) < tellFor
+// pending reports whether the record is still to be announced.
+func (r *record) pending(now time.Time) bool {
+	return len(r.terminations) > 1 || now.Sub(r.lastObserved()) < announceFor
 }
 
-// last is when something was last seen of the request.
-func (r *record) last() time.Time {
-	if len(r.ended) == 0 {
+// lastObserved returns when the last termination, or else the completion, was observed.
+func (r *record) lastObserved() time.Time {
+	if len(r.terminations) == 0 {
 		return r.clearedAt
 	}
-	return r.ended[len(r.ended)-1].ObservedAt
+	return r.terminations[len(r.terminations)-1].ObservedAt
 }
 
-// makeRoom drops the request that is under the least suspicion, the one seen longest
-// ago among equals, if there are too many.
-func (l *List) makeRoom(now time.Time) {
-	if len(l.records) < mostRequests {
+// evictLeastSuspected drops the request with the fewest terminations if there are
+// maxRequests, among equals the one with the oldest observation.
+func (l *List) evictLeastSuspected(now time.Time) {
+	if len(l.records) < maxRequests {
 		return
 	}
-	var least request.Fingerprint
-	var found *record
+	var evicted request.Fingerprint
+	var fewest *record
 	for f, r := range l.records {
 		r.expire(now)
-		if found == nil || cmp.Or(cmp.Compare(len(r.ended), len(found.ended)), r.last().Compare(found.last())) < 0 {
-			least, found = f, r
+		if fewest == nil || cmp.Or(cmp.Compare(len(r.terminations), len(fewest.terminations)), r.lastObserved().Compare(fewest.lastObserved())) < 0 {
+			evicted, fewest = f, r
 		}
 	}
-	delete(l.records, least)
+	delete(l.records, evicted)
 }
--- a/internal/decide/ratelimit/allowance.go
+++ b/internal/decide/ratelimit/allowance.go
@@ -6,110 +6,112 @@
 )
 
 const (
-	// leastRate is the rate, in requests a second, at which a server is sent requests that
-	// names a smaller limit: without any nobody would hear that the limit has ended.
-	leastRate = 0.25
-	// extraMembers is by how many, at most, the gateways that may send are more than the
-	// requests a second that a server takes.
-	extraMembers = 4
-	// burst is the time whose part of the limit a gateway may send at once.
-	burst = 250 * time.Millisecond
-	// settle is how long a gateway that is newly among those that may send waits, so that
-	// the one whose place it takes has heard of the same change.
-	settle = 4 * time.Second
-	// recovery is for how long the rate of a server whose limit ended grows, and doubling
+	// minRate is the rate, in requests a second, at which requests are sent to a server
+	// with a lower limit. Without any request, no gateway would learn that the limit
+	// has ended.
+	minRate = 0.25
+	// extraSenders is the maximum number of senders beyond the number of requests a second
+	// that the server accepts.
+	extraSenders = 4
+	// burstWindow bounds bursts: a gateway may send its share for this time at once.
+	burstWindow = 250 * time.Millisecond
+	// joinDelay is how long a gateway that becomes a sender waits, so that the one it
+	// replaces has learned of the change as well.
+	joinDelay = 4 * time.Second
+	// recoveryPeriod is how long the rate grows after a limit has ended, and doublingTime
 	// how long it takes to double.
-	recovery = 3 * time.Second
-	doubling = 500 * time.Millisecond
-	// leastSilence and silentSends are after how long, and how many expected sends, a
-	// server of which no answer is known counts as not used by those that may send.
-	leastSilence = 10 * time.Second
-	silentSends  = 4
+	recoveryPeriod = 3 * time.Second
+	doublingTime   = 500 * time.Millisecond
+	// If no response of a server is known for minSilence, or for the time of
+	// silenceRequests requests if that is longer, its senders are assumed not to use it.
+	minSilence      = 10 * time.Second
+	silenceRequests = 4
 )
 
-// Rank is a gateway's place among those that could send to a server.
+// Rank is a gateway's position among those that could send to a server.
 type Rank struct {
-	// Position counts from 0, Of is how many gateways there are, 0 if that is not known.
+	// Position counts from 0. Total is the number of gateways, 0 if unknown.
 	Position, Total int
 }
 
-// Ranking ranks this gateway by a key. All gateways that know the same gateways agree on
-// it, and it differs from key to key.
+// Ranking returns the rank of this gateway for a server and round. Gateways that know the
+// same set of gateways agree on the ranks, which differ between servers and rounds.
 type Ranking func(server string, round uint64) Rank
 
-// allowance is what one gateway may still send to a server.
+// allowance is the token bucket of one gateway for a server.
 //
-// A limit is often smaller than the number of gateways. If each had an equal part, the
-// first request of each would be over the limit. So a few gateways have equal parts, and
-// the others send nothing. They are found by ranking, which needs no message, and over any
-// time send the limit and a burst each at most: one request, or its part of burst.
+// A limit is often smaller than the number of gateways. If all had equal shares, the
+// first request of each would together exceed the limit. A few gateways, the senders,
+// therefore have equal shares, and the others send nothing. Senders are selected by rank,
+// which needs no messages. Over any period, together they send at most the limit plus one
+// burst each: one request, or the sender's share for burstWindow if that is more.
 type allowance struct {
-	tokens   float64
-	refilled time.Duration
-	rank     Rank
-	// round is that of the rank.
+	tokens     float64
+	refilledAt time.Duration
+	rank       Rank
+	// round is the round for which rank was computed.
 	round uint64
-	// heldUntil keeps a gateway back that is newly among those that may send.
-	heldUntil time.Duration
+	// blockedUntil delays a gateway that has just become a sender.
+	blockedUntil time.Duration
 }
 
-// rate returns how many requests a second the server may get from all gateways; false if
-// there is no limit any more.
-func (e *entry) rate(now time.Duration) (float64, bool) {
-	if e.last.Limited {
-		return max(leastRate, e.last.PerSecond), true
+// totalRate returns how many requests a second all gateways together may send to the
+// server, or false if it is no longer limited.
+func (e *entry) totalRate(now time.Duration) (float64, bool) {
+	if e.latest.Limited {
+		return max(minRate, e.latest.PerSecond), true
 	}
-	passed := now - e.endedAt
-	if passed >= recovery {
+	elapsed := now - e.endedAt
+	if elapsed >= recoveryPeriod {
 		return 0, false
 	}
-	return max(leastRate, e.before) * math.Exp2(float64(passed)/float64(doubling)), true
+	return max(minRate, e.endedLimit) * math.Exp2(float64(elapsed)/float64(doublingTime)), true
 }
 
-// members returns how many of the gateways may send at a rate.
-func members(rate float64, round uint64, of int) int {
+// senderCount returns how many of the gateways may send at a rate.
+func senderCount(rate float64, round uint64, gateways int) int {
 	if round > 0 {
 		return 1
 	}
-	return max(1, min(int(rate+min(1+rate, extraMembers)), of))
+	return max(1, min(int(rate+min(1+rate, extraSenders)), gateways))
 }
 
-// chosen reports whether this gateway is one of those that may send at a rate.
-func (e *entry) chosen(rate float64) bool {
-	return e.rank.Total > 0 && e.rank.Position < members(rate, e.round, e.rank.Total)
+// isSender reports whether this gateway is one of the senders at a rate.
+func (e *entry) isSender(rate float64) bool {
+	return e.rank.Total > 0 && e.rank.Position < senderCount(rate, e.round, e.rank.Total)
 }
 
-// currentRound counts the times for which no answer of the server was known. In each, one
-// other gateway looks whether the limit still holds.
+// currentRound returns the number of periods of silence since the last known response of
+// the server. In each one, a different gateway probes whether the limit still applies.
 func (e *entry) currentRound(now time.Duration, rate float64) uint64 {
-	if !e.last.Limited {
+	if !e.latest.Limited {
 		return 0
 	}
-	silence := max(leastSilence, time.Duration(silentSends/rate*float64(time.Second)))
-	return uint64(max(0, now-e.last.ReceivedAt) / silence)
+	silence := max(minSilence, time.Duration(silenceRequests/rate*float64(time.Second)))
+	return uint64(max(0, now-e.latest.ReceivedAt) / silence)
 }
 
-// refresh brings the allowance up to a moment, and returns this gateway's part of the rate
-// and whether it may send; limited is false if there is no limit any more.
-func (e *entry) refresh(now time.Duration, ranking Ranking) (part float64, member, limited bool) {
-	rate, limited := e.rate(now)
+// refresh updates the allowance to now. It returns this gateway's share of the rate and
+// whether it is a sender; limited is false if the server is no longer limited.
+func (e *entry) refresh(now time.Duration, ranking Ranking) (share float64, sender, limited bool) {
+	rate, limited := e.totalRate(now)
 	if !limited {
 		return 0, false, false
 	}
 	if round := e.currentRound(now, rate); round != e.round {
 		e.round = round
-		e.rank = ranking(e.last.Server.ID, round)
+		e.rank = ranking(e.latest.Server.ID, round)
 	}
-	part = rate / float64(members(rate, e.round, e.rank.Total))
-	e.fill(now, part)
-	return part, e.chosen(rate) && now >= e.heldUntil, true
+	share = rate / float64(senderCount(rate, e.round, e.rank.Total))
+	e.fill(now, share)
+	return share, e.isSender(rate) && now >= e.blockedUntil, true
 }
 
-// fill adds the tokens of the time since the last call.
-func (a *allowance) fill(now time.Duration, part float64) {
-	passed := max(0, now-a.refilled)
-	a.refilled = now
-	a.tokens = min(max(1, part*burst.Seconds()), a.tokens+part*passed.Seconds())
+// fill adds the tokens for the time since the last call.
+func (a *allowance) fill(now time.Duration, share float64) {
+	elapsed := max(0, now-a.refilledAt)
+	a.refilledAt = now
+	a.tokens = min(max(1, share*burstWindow.Seconds()), a.tokens+share*elapsed.Seconds())
 }
 
 // Allows reports whether this gateway may send a request to a server now.
@@ -118,24 +120,24 @@
 	if !ok {
 		return true
 	}
-	_, member, limited := e.refresh(now, t.ranking)
-	return !limited || (member && e.tokens >= 1)
+	_, sender, limited := e.refresh(now, t.ranking)
+	return !limited || (sender && e.tokens >= 1)
 }
 
-// Part returns how many requests a second this gateway may send to a server with a limit,
-// 0 if it may send none now.
+// Share returns this gateway's share of a server's limit, in requests a second, or 0 if it
+// must not send to the server now.
 func (t *Table) Share(now time.Duration, server string) float64 {
 	e, ok := t.entries[server]
 	if !ok {
 		return 0
 	}
-	if part, member, _ := e.refresh(now, t.ranking); member {
-		return part
+	if share, sender, _ := e.refresh(now, t.ranking); sender {
+		return share
 	}
 	return 0
 }
 
-// Take notes a request to a server, also one that Allows would not have let through.
+// Take records a request to a server, including one that Allows would have rejected.
 func (t *Table) Take(now time.Duration, server string) {
 	if e, ok := t.entries[server]; ok {
 		e.refresh(now, t.ranking)
@@ -143,38 +145,38 @@
 	}
 }
 
-// Wait returns after how long a request to a server may be let through, here or by
-// another gateway; 0 if there is no limit.
+// RetryAfter returns the time until this or another gateway may send a request to a server, 0
+// if the server is not limited.
 func (t *Table) RetryAfter(now time.Duration, server string) time.Duration {
 	e, ok := t.entries[server]
 	if !ok {
 		return 0
 	}
-	part, member, limited := e.refresh(now, t.ranking)
+	share, sender, limited := e.refresh(now, t.ranking)
 	switch {
 	case !limited:
 		return 0
-	case member:
-		return time.Duration(max(0, 1-e.tokens) / part * float64(time.Second))
+	case sender:
+		return time.Duration(max(0, 1-e.tokens) / share * float64(time.Second))
 	default:
-		// One of the others sends as often as all together may.
-		rate, _ := e.rate(now)
+		// The senders together send at the total rate.
+		rate, _ := e.totalRate(now)
 		return time.Duration(float64(time.Second) / rate)
 	}
 }
 
-// Rank ranks this gateway anew for all servers with a limit. It is called from time to
-// time, as gateways come and go.
+// UpdateRanks recomputes the rank of this gateway for all servers with a limit. It is to be
+// called when the set of gateways may have changed.
 func (t *Table) UpdateRanks(now time.Duration) {
 	for _, e := range t.entries {
-		rate, limited := e.rate(now)
+		rate, limited := e.totalRate(now)
 		if !limited {
 			continue
 		}
-		was := e.chosen(rate)
-		e.rank = t.ranking(e.last.Server.ID, e.round)
-		if e.chosen(rate) && !was {
-			e.heldUntil = now + settle
+		wasSender := e.isSender(rate)
+		e.rank = t.ranking(e.latest.Server.ID, e.round)
+		if e.isSender(rate) && !wasSender {
+			e.blockedUntil = now + joinDelay
 		}
 	}
 }
--- a/internal/decide/ratelimit/ratelimit.go
+++ b/internal/decide/ratelimit/ratelimit.go
@@ -1,13 +1,14 @@
-// Package ratelimit keeps the limits that backend servers name for themselves: how many
-// requests a second a server takes from all gateways together, for as long as it says so.
+// Package ratelimit tracks the rate limits that backend servers set for themselves: how
+// many requests a second a server accepts from all gateways together while it states a
+// limit in its responses.
 //
-// Answers come out of order, and one gateway hears what another has not. A Notice
-// therefore carries the span in which the server can have said it, and is newer than
-// another one only if the spans do not overlap; of two that overlap, the stricter holds.
+// Responses arrive out of order, and gateways receive different ones. A Notice therefore
+// carries the interval in which the server can have sent it, and is newer than another
+// one only if the intervals do not overlap. Of two that overlap, the stricter applies.
 //
-// It is pure code. Times are passed in and count from the start of the VM, suspended time
-// included: with a clock that stands still, what a VM knew before a suspension would seem
-// newer than what others heard meanwhile.
+// The package does no I/O. The caller passes times since the boot of the VM, suspended
+// time included: with a clock that stops during a suspension, what a VM knew before it
+// would seem newer than what other gateways received meanwhile.
 package ratelimit
 
 import (
@@ -21,51 +22,51 @@
 )
 
 const (
-	// weakDelay is how much later than a limit with an authentication code an answer
-	// without one must have been asked for to end it.
-	weakDelay = 2 * time.Second
-	// keptEnded is for how long the end of a limit is known: late news of the limit must
-	// not bring it back.
-	keptEnded = 10 * time.Second
-	// keptGone is for how long the limit of a server is known whose entry is gone. An
-	// entry that lapsed with the store's outage returns.
-	keptGone = time.Minute
-	// notable is the part by which a limit must differ from the one that was last a change
-	// to be another.
-	notable = 0.05
-	// mostServers bounds the servers with limits.
-	mostServers = 4_096
+	// unauthenticatedDelay is the minimum time between receiving an authenticated limit
+	// and sending a request whose unauthenticated response may end the limit.
+	unauthenticatedDelay = 2 * time.Second
+	// endedRetention is how long an ended limit is retained, so that a delayed notice
+	// does not restore it.
+	endedRetention = 10 * time.Second
+	// removedRetention is how long the limit of a removed server is retained: a server
+	// whose object expired during an outage of the store returns.
+	removedRetention = time.Minute
+	// minRelativeChange is the fraction by which a limit must differ from the last
+	// reported one to count as Changed.
+	minRelativeChange = 0.05
+	// maxServers bounds the number of servers with limits.
+	maxServers = 4_096
 )
 
-// Notice is what one answer of a server says of its limit.
+// Notice is what one response of a server says about its limit.
 type Notice struct {
 	Server backend.Instance
-	// Named says that the server takes PerSecond requests a second; otherwise it names no
-	// limit.
+	// Limited says that the server accepts PerSecond requests a second; otherwise it
+	// states no limit.
 	Limited   bool
 	PerSecond float64
-	// Sent is when the request was sent that the server answered so, and Heard when the
-	// head of the answer came.
+	// RequestedAt is when the request was sent, and ReceivedAt when the response header
+	// was received.
 	RequestedAt, ReceivedAt time.Duration
-	// Weak says that the answer had no authentication code, as those to prompts that are
-	// only read and rejections.
+	// Unauthenticated says that the response had no authentication code. Rejections and
+	// responses to prefill-only requests have none.
 	Unauthenticated bool
 }
 
-// stricter reports whether n lets fewer requests through than o.
+// stricter reports whether n allows fewer requests than o.
 func (n Notice) stricter(o Notice) bool {
 	return n.Limited && (!o.Limited || n.PerSecond < o.PerSecond)
 }
 
-// says reports whether n and o say the same.
-func (n Notice) says(o Notice) bool {
+// sameLimit reports whether n and o state the same limit.
+func (n Notice) sameLimit(o Notice) bool {
 	return n.Limited == o.Limited && (!n.Limited || n.PerSecond == o.PerSecond)
 }
 
-// Change is what a Notice changed.
+// Change is the effect of a Notice.
 type Change uint8
 
-// The changes. One that others need not hear of at once is Unchanged.
+// The changes. Unchanged includes those that need not be announced immediately.
 const (
 	Unchanged Change = iota
 	Begun
@@ -73,169 +74,169 @@
 	Ended
 )
 
-// String returns the name used in logs.
+// String returns the name for logs.
 func (c Change) String() string {
 	return [...]string{"unchanged", "begun", "changed", "ended"}[c]
 }
 
-// Table is the limits that one gateway knows, by server. Its methods are for one
-// goroutine at a time.
+// Table holds the limits that one gateway knows, by server. It is not safe for
+// concurrent use.
 type Table struct {
 	ranking Ranking
 	entries map[string]*entry
 }
 
-// entry is the limit of one start of a server.
+// entry is the limit of one incarnation of a server.
 type entry struct {
-	// last is the newest notice.
-	last Notice
-	// announced is the limit that was last a change.
-	announced float64
-	// before is the limit that ended, and endedAt when, of a server that names none any
-	// more.
-	before  float64
-	endedAt time.Duration
+	// latest is the newest notice.
+	latest Notice
+	// reportedLimit is the limit last reported as Begun or Changed.
+	reportedLimit float64
+	// endedLimit is the limit that ended at endedAt, if the server states none now.
+	endedLimit float64
+	endedAt    time.Duration
 	allowance
-	// toldAt is when it was last told to others.
-	toldAt time.Duration
+	// announcedAt is when the limit was last announced to other gateways.
+	announcedAt time.Duration
 }
 
-// New returns a Table without limits.
+// New returns an empty Table.
 func New(r Ranking) *Table { return &Table{ranking: r, entries: make(map[string]*entry)} }
 
-// Len returns how many servers have a limit, or had one until lately.
+// Len returns the number of servers that have, or recently had, a limit.
 func (t *Table) Len() int { return len(t.entries) }
 
-// Knows reports whether a server has a limit, or had one until lately.
+// Tracks reports whether a server has, or recently had, a limit.
 func (t *Table) Tracks(server string) bool {
 	_, ok := t.entries[server]
 	return ok
 }
 
-// Limit returns the limit that a server names, in requests a second.
+// Limit returns the limit that a server states, in requests a second.
 func (t *Table) Limit(server string) (perSecond float64, ok bool) {
 	e, ok := t.entries[server]
-	if !ok || !e.last.Limited {
+	if !ok || !e.latest.Limited {
 		return 0, false
 	}
-	return e.last.PerSecond, true
+	return e.latest.PerSecond, true
 }
 
-// Add takes in a notice and returns what it changed.
+// Add merges a notice and returns its effect.
 func (t *Table) Add(now time.Duration, n Notice) Change {
 	e, ok := t.entries[n.Server.ID]
 	switch {
 	case !ok:
-		return t.begin(now, n)
-	case n.Server.Incarnation < e.last.Server.Incarnation:
+		return t.insert(now, n)
+	case n.Server.Incarnation < e.latest.Server.Incarnation:
 		return Unchanged
-	case n.Server.Incarnation > e.last.Server.Incarnation:
+	case n.Server.Incarnation > e.latest.Server.Incarnation:
 		return t.replace(now, e, n)
-	case n.ReceivedAt <= e.last.RequestedAt:
+	case n.ReceivedAt <= e.latest.RequestedAt:
 		return Unchanged
-	case !n.newerThan(e.last):
+	case !n.newerThan(e.latest):
 		return e.merge(n)
 	}
-	return e.set(n)
+	return e.setLatest(n)
 }
 
-// begin takes in the first notice of a server. One without a limit says nothing.
-func (t *Table) begin(now time.Duration, n Notice) Change {
+// insert adds the first notice of a server. A notice without a limit is ignored.
+func (t *Table) insert(now time.Duration, n Notice) Change {
 	if !n.Limited {
 		return Unchanged
 	}
-	t.makeRoom()
-	e := &entry{last: n, announced: n.PerSecond}
-	e.refilled = now
+	t.evictOldest()
+	e := &entry{latest: n, reportedLimit: n.PerSecond}
+	e.refilledAt = now
 	e.rank = t.ranking(n.Server.ID, 0)
 	t.entries[n.Server.ID] = e
 	return Begun
 }
 
-// replace takes in the first notice of a later start of a server.
+// replace adds the first notice of a later incarnation of a server.
 func (t *Table) replace(now time.Duration, e *entry, n Notice) Change {
 	delete(t.entries, n.Server.ID)
-	if t.begin(now, n) == Begun {
+	if t.insert(now, n) == Begun {
 		return Begun
 	}
-	if e.last.Limited {
+	if e.latest.Limited {
 		return Ended
 	}
 	return Unchanged
 }
 
-// newerThan reports whether the server certainly said n after o.
+// newerThan reports whether the server certainly sent n after o.
 func (n Notice) newerThan(o Notice) bool {
 	if !n.Limited && o.Limited && n.Unauthenticated && !o.Unauthenticated {
-		return n.RequestedAt >= o.ReceivedAt+weakDelay
+		return n.RequestedAt >= o.ReceivedAt+unauthenticatedDelay
 	}
 	return n.RequestedAt >= o.ReceivedAt
 }
 
-// merge takes in a notice that overlaps with the last one.
+// merge adds a notice whose interval overlaps with that of the latest one.
 func (e *entry) merge(n Notice) Change {
 	switch {
-	case n.says(e.last):
-		e.last.RequestedAt, e.last.ReceivedAt = max(e.last.RequestedAt, n.RequestedAt), max(e.last.ReceivedAt, n.ReceivedAt)
+	case n.sameLimit(e.latest):
+		e.latest.RequestedAt, e.latest.ReceivedAt = max(e.latest.RequestedAt, n.RequestedAt), max(e.latest.ReceivedAt, n.ReceivedAt)
 		return Unchanged
-	case n.stricter(e.last):
-		return e.set(n)
+	case n.stricter(e.latest):
+		return e.setLatest(n)
 	default:
 		return Unchanged
 	}
 }
 
-// set makes a notice the newest one.
-func (e *entry) set(n Notice) Change {
-	was := e.last
-	e.last = n
+// setLatest makes a notice the latest one.
+func (e *entry) setLatest(n Notice) Change {
+	previous := e.latest
+	e.latest = n
 	switch {
-	case !n.Limited && !was.Limited:
+	case !n.Limited && !previous.Limited:
 		return Unchanged
 	case !n.Limited:
-		e.before, e.endedAt = was.PerSecond, n.ReceivedAt
+		e.endedLimit, e.endedAt = previous.PerSecond, n.ReceivedAt
 		return Ended
-	case was.Limited && math.Abs(n.PerSecond-e.announced) <= notable*e.announced:
+	case previous.Limited && math.Abs(n.PerSecond-e.reportedLimit) <= minRelativeChange*e.reportedLimit:
 		return Unchanged
 	}
-	e.announced = n.PerSecond
-	if was.Limited {
+	e.reportedLimit = n.PerSecond
+	if previous.Limited {
 		return Changed
 	}
 	return Begun
 }
 
-// Forget drops the limits that ended and those of servers that are gone.
+// Prune drops ended limits, and those of servers that are not known, once their
+// retention has elapsed.
 func (t *Table) Prune(now time.Duration, known func(server string) bool) {
 	maps.DeleteFunc(t.entries, func(id string, e *entry) bool {
-		if !e.last.Limited && now-e.endedAt >= keptEnded {
+		if !e.latest.Limited && now-e.endedAt >= endedRetention {
 			return true
 		}
-		return !known(id) && now-e.last.ReceivedAt >= keptGone
+		return !known(id) && now-e.latest.ReceivedAt >= removedRetention
 	})
 }
 
-// ToTell returns up to most notices that others may not have, those told longest ago
-// first.
-func (t *Table) PendingAnnouncements(now time.Duration, most int) []Notice {
+// PendingAnnouncements returns up to limit notices that other gateways may not have,
+// the least recently announced first.
+func (t *Table) PendingAnnouncements(now time.Duration, limit int) []Notice {
 	entries := slices.SortedFunc(maps.Values(t.entries), func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(a.toldAt, b.toldAt), cmp.Compare(a.last.Server.ID, b.last.Server.ID))
+		return cmp.Or(cmp.Compare(a.announcedAt, b.announcedAt), cmp.Compare(a.latest.Server.ID, b.latest.Server.ID))
 	})
-	notices := make([]Notice, 0, min(most, len(entries)))
-	for _, e := range entries[:min(most, len(entries))] {
-		e.toldAt = now
-		notices = append(notices, e.last)
+	notices := make([]Notice, 0, min(limit, len(entries)))
+	for _, e := range entries[:min(limit, len(entries))] {
+		e.announcedAt = now
+		notices = append(notices, e.latest)
 	}
 	return notices
 }
 
-// makeRoom drops the limit that was heard longest ago if there are too many.
-func (t *Table) makeRoom() {
-	if len(t.entries) < mostServers {
+// evictOldest drops the least recently received limit if there are maxServers.
+func (t *Table) evictOldest() {
+	if len(t.entries) < maxServers {
 		return
 	}
 	oldest := slices.MinFunc(slices.Collect(maps.Values(t.entries)), func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(a.last.ReceivedAt, b.last.ReceivedAt), cmp.Compare(a.last.Server.ID, b.last.Server.ID))
+		return cmp.Or(cmp.Compare(a.latest.ReceivedAt, b.latest.ReceivedAt), cmp.Compare(a.latest.Server.ID, b.latest.Server.ID))
 	})
-	delete(t.entries, oldest.last.Server.ID)
+	delete(t.entries, oldest.latest.Server.ID)
 }
--- a/internal/decide/roles/budget.go
+++ b/internal/decide/roles/budget.go
@@ -3,44 +3,46 @@
 import "pistachioroad.dev/pistachioroad/internal/backend"
 
 const (
-	// freeMoves are the changes of role that need no demand: before the first
-	// requests come, changes disturb nobody. Beyond them a large fleet that few
-	// callers use would pay for changes that no answer gains from.
-	freeMoves = 16
-	// requestsPerMove pay for one change: it costs as much as some answers, and a
-	// fleet that is off its share loses a few in a hundred.
-	requestsPerMove = 200
-	// mostAway is the part of the fleet that may change its role together.
-	mostAway = 0.25
+	// freeChanges is the number of role changes allowed without any demand: before
+	// the first requests arrive, changes disturb nobody. Beyond that, a large fleet
+	// with few callers would pay for changes that speed up no answer.
+	freeChanges = 16
+	// requestsPerChange is the number of requests that justify one change: a change
+	// costs as much as several answers, and a fleet with the wrong share loses a few
+	// percent of its answers.
+	requestsPerChange = 200
+	// maxConcurrentShare is the fraction of the fleet that may change roles
+	// concurrently.
+	maxConcurrentShare = 0.25
 )
 
-// Afford returns the first of the changes that Decide wants, as many as the
-// requests seen so far pay for, given the number that were made. Engines without
-// which nothing could be generated are always changed.
+// LimitByDemand returns the first of the changes from Decide, as many as the requests
+// seen so far justify, given the number of changes already made. Changes needed to
+// reach minDecodeEngines are always allowed.
 //
-// It answers a large fleet with little to do. Its share may be off by hundreds
-// of engines while each request finds an idle one, and no answer gains from
-// bringing all of them to the share.
-func LimitByDemand(engines []Engine, moves []RoleChange, requests int64, made int) []RoleChange {
-	paid := freeMoves + int(requests/requestsPerMove) - made
-	needed := leastDecode - count(engines, backend.Decode)
-	return moves[:min(len(moves), max(0, paid, needed))]
+// It limits changes in a large fleet with little load: its share may be off by
+// hundreds of engines while every request finds an idle one, and no answer gets
+// faster when all of them are brought to the share.
+func LimitByDemand(engines []Engine, changes []RoleChange, requests int64, made int) []RoleChange {
+	budget := freeChanges + int(requests/requestsPerChange) - made
+	needed := minDecodeEngines - count(engines, backend.Decode)
+	return changes[:min(len(changes), max(0, budget, needed))]
 }
 
-// AtOnce returns the first of the changes that Decide wants, as many as may be made
-// together while engines have work: one, or a part of the fleet if the role that
-// they join has at most half of its engines.
+// LimitConcurrent returns the first of the changes from Decide, as many as may be made
+// concurrently while engines have work: one, or maxConcurrentShare of the fleet if
+// the target role has at most half of the engines that it should have.
 //
-// It answers the replacement of many engines. The new ones start in a role of their
-// own, and each change waits until the answers of its engine have ended: one at a
-// time, a fleet whose readers were replaced is short of them for a minute.
-func LimitConcurrent(engines []Engine, moves []RoleChange) []RoleChange {
-	most := 1
-	if len(moves) > 0 {
-		have := count(engines, moves[0].Role)
-		if 2*have <= have+len(moves) {
-			most = max(most, int(mostAway*float64(len(engines))))
+// It handles the replacement of many engines. New engines start in an initial role of
+// their own, and each change waits until the answers of its engine have finished. One at
+// a time, a fleet whose prefill engines were replaced would lack them for a minute.
+func LimitConcurrent(engines []Engine, changes []RoleChange) []RoleChange {
+	limit := 1
+	if len(changes) > 0 {
+		have := count(engines, changes[0].Role)
+		if 2*have <= have+len(changes) {
+			limit = max(limit, int(maxConcurrentShare*float64(len(engines))))
 		}
 	}
-	return moves[:min(len(moves), most)]
+	return changes[:min(len(changes), limit)]
 }
--- a/internal/decide/roles/roles.go
+++ b/internal/decide/roles/roles.go
@@ -1,14 +1,14 @@
-// Package roles decides which engines read prompts and which generate answers.
+// Package roles decides which engines prefill prompts and which decode answers.
 //
-// It answers a fixed fleet whose engines start in whatever roles they had. Read
-// speed binds long prompts: an engine that reads for others reads twice as fast
-// as one that reads between the tokens of its own streams. Too few engines that
-// generate, and every stream shares its steps with many others. One notices by
-// first tokens that come late while streams run at full speed, or the reverse.
+// It handles a fixed fleet whose engines start in whatever roles they had. Prefill
+// speed limits long prompts: a dedicated prefill engine prefills twice as fast as one
+// that does so between the decode steps of its own streams. With too few decode
+// engines, every stream shares its steps with many others. Symptom: a high time to
+// first token while streams run at full speed, or the reverse.
 //
-// Each change takes an engine away for seconds and is priced by both users, so
-// there is no following of the mix from minute to minute: the share is set, and
-// changes only repair it.
+// A change makes an engine unavailable for seconds, and both deployments assign a cost
+// to it. The roles therefore do not follow the traffic from minute to minute: the
+// share is fixed, and changes only restore it.
 package roles
 
 import (
@@ -22,51 +22,50 @@
 )
 
 const (
-	// DefaultDecodeShare is the part of the engines that generate short answers.
+	// DefaultDecodeShare is the fraction of decode engines for short answers.
 	DefaultDecodeShare = 0.4
-	// leastDecode engines generate at least: one may crash.
-	leastDecode = 2
-	// tolerance is by how many engines the share may be off before a change
-	// pays: half an engine is rounding.
-	tolerance = 1
+	// minDecodeEngines is the minimum number of decode engines: one may crash.
+	minDecodeEngines = 2
+	// minDeviation is the smallest deviation from the share, in engines, that is corrected:
+	// half an engine is rounding.
+	minDeviation = 1
 )
 
-// Engine is one engine that may be told its role.
+// Engine is an engine whose role can be changed.
 type Engine struct {
 	ID         string
 	DataCentre string
 	Role       backend.Role
-	// Work is how much it has to do; the least busy one changes first.
+	// InFlight is the number of its requests; the least busy engine changes first.
 	InFlight int
-	// Pace is how slow it is.
-	Speed Speed
+	Speed    Speed
 }
 
-// Move is one change of role.
+// RoleChange is the change of one engine to another role.
 type RoleChange struct {
 	ID   string
 	Role backend.Role
 }
 
-// Decide returns the changes that bring the engines to the share, the first one
-// to make first. Engines of each role stay spread over the data centres, so that
-// a transfer seldom crosses between them and the loss of one leaves both roles.
+// Decide returns the role changes that bring the engines to the share, in the order in
+// which to make them. Each role stays spread over the data centres, so that KV transfers
+// rarely cross between them and both roles survive the loss of one.
 func Decide(engines []Engine, decodeShare float64) []RoleChange {
 	n := len(engines)
-	if n <= leastDecode {
+	if n <= minDecodeEngines {
 		return nil
 	}
 	want := int(math.Round(decodeShare * float64(n)))
-	want = min(max(want, leastDecode), n-1)
+	want = min(max(want, minDecodeEngines), n-1)
 	decode := count(engines, backend.Decode)
-	from, to, moves := backend.Decode, backend.Prefill, decode-want
-	if moves < 0 {
-		from, to, moves = backend.Prefill, backend.Decode, -moves
+	from, to, changes := backend.Decode, backend.Prefill, decode-want
+	if changes < 0 {
+		from, to, changes = backend.Prefill, backend.Decode, -changes
 	}
-	if moves < tolerance {
+	if changes < minDeviation {
 		return nil
 	}
-	return choose(engines, from, to, moves)
+	return selectEngines(engines, from, to, changes)
 }
 
 func count(engines []Engine, role backend.Role) int {
@@ -79,21 +78,22 @@
 	return n
 }
 
-// choose takes n engines of a role: those whose speed fits the other role better,
-// and among them the least busy of the data centre that has most of the role.
-func choose(engines []Engine, from, to backend.Role, n int) []RoleChange {
-	left := lo.Filter(engines, func(e Engine, _ int) bool { return e.Role == from })
-	var moves []RoleChange
+// selectEngines selects n engines of a role for another: those whose speed suits the
+// other role best, and among them the least busy in the data centre with the most
+// engines of the role.
+func selectEngines(engines []Engine, from, to backend.Role, n int) []RoleChange {
+	candidates := lo.Filter(engines, func(e Engine, _ int) bool { return e.Role == from })
+	var changes []RoleChange
 	for range n {
-		have := lo.CountValuesBy(left, func(e Engine) string { return e.DataCentre })
-		next := slices.MinFunc(fitting(left, to), func(a, b Engine) int {
+		perDataCentre := lo.CountValuesBy(candidates, func(e Engine) string { return e.DataCentre })
+		next := slices.MinFunc(bestSuited(candidates, to), func(a, b Engine) int {
 			return cmp.Or(
-				cmp.Compare(have[b.DataCentre], have[a.DataCentre]), cmp.Compare(a.DataCentre, b.DataCentre),
+				cmp.Compare(perDataCentre[b.DataCentre], perDataCentre[a.DataCentre]), cmp.Compare(a.DataCentre, b.DataCentre),
 				cmp.Compare(a.InFlight, b.InFlight), cmp.Compare(a.ID, b.ID),
 			)
 		})
-		moves = append(moves, RoleChange{ID: next.ID, Role: to})
-		left = slices.DeleteFunc(left, func(e Engine) bool { return e.ID == next.ID })
+		changes = append(changes, RoleChange{ID: next.ID, Role: to})
+		candidates = slices.DeleteFunc(candidates, func(e Engine) bool { return e.ID == next.ID })
 	}
-	return moves
+	return changes
 }
--- a/internal/decide/roles/share.go
+++ b/internal/decide/roles/share.go
@@ -7,49 +7,51 @@
 )
 
 const (
-	// longDecodeShare is the part of the engines that generate long answers.
+	// longDecodeShare is the fraction of decode engines for long answers.
 	longDecodeShare = 0.5
-	// longAnswer is how many of the longest pauses between two events an answer may
-	// last to count as long before answers were seen.
-	longAnswer = 40
-	// tooManyMisses is the part of misses above which one more engine generates. It
-	// goes on until the part falls below someMisses, so that a burst does not change
-	// roles to and fro. Below fewMisses the default share suffices for long answers.
-	tooManyMisses = 0.2
-	someMisses    = 0.1
-	fewMisses     = 0.03
+	// longAnswerEvents is the value of AnswerStats.MaxEvents from which answers are
+	// assumed to be long while none have been observed.
+	longAnswerEvents = 40
+	// raiseMissRate is the miss rate above which one more engine decodes. The raised
+	// share is held until the rate falls below lowerMissRate, so that a burst does not
+	// change roles back and forth. Up to negligibleMissRate the default share suffices
+	// for long answers.
+	raiseMissRate      = 0.2
+	lowerMissRate      = 0.1
+	negligibleMissRate = 0.03
 )
 
-// Answers is what is known of the answers that engines generate.
+// AnswerStats holds statistics of the answers of a service.
 type AnswerStats struct {
-	// Misses is the part of them, by length, that is expected to miss its deadline, if
-	// it is known.
+	// ExpectedMissRate is the fraction of answers, weighted by length, that is expected to
+	// miss the deadline. It is valid if MissRateKnown.
 	ExpectedMissRate float64
 	MissRateKnown    bool
-	// Longest is how many of the longest pauses between its events an answer may last.
+	// MaxEvents is the number of stream events in the longest answer that routes allow if
+	// the inter-event time is at its objective.
 	MaxEvents int
 }
 
-// DecodeShare returns the part of the engines that should generate.
+// DecodeShare returns the fraction of the engines that should decode.
 //
-// It answers long answers: each holds its engine for hundreds of steps, and the more
-// of them share an engine, the longer its steps take. One notices by the longest
-// answers, which are cut by their deadlines while prompts are read in time.
+// It raises the share for long answers: each occupies its engine for hundreds of
+// decode steps, and the more of them share an engine, the longer its steps take.
+// Symptom: the longest answers exceed their deadlines while prefills are on time.
 func DecodeShare(engines []Engine, a AnswerStats) float64 {
 	n, decode := float64(len(engines)), float64(count(engines, backend.Decode))
 	if n == 0 {
 		return DefaultDecodeShare
 	}
 	share := DefaultDecodeShare
-	if a.MaxEvents >= longAnswer && (!a.MissRateKnown || a.ExpectedMissRate > fewMisses) {
+	if a.MaxEvents >= longAnswerEvents && (!a.MissRateKnown || a.ExpectedMissRate > negligibleMissRate) {
 		share = longDecodeShare
 	}
-	if !a.MissRateKnown || a.ExpectedMissRate < someMisses {
+	if !a.MissRateKnown || a.ExpectedMissRate < lowerMissRate {
 		return share
 	}
-	if a.ExpectedMissRate > tooManyMisses {
+	if a.ExpectedMissRate > raiseMissRate {
 		decode++
 	}
-	least, most := math.Round(share*n), math.Round(longDecodeShare*n)
-	return min(max(decode, least), most) / n
+	lowest, highest := math.Round(share*n), math.Round(longDecodeShare*n)
+	return min(max(decode, lowest), highest) / n
 }
--- a/internal/peers/delay.go
+++ b/internal/peers/delay.go
@@ -2,61 +2,62 @@
 
 import "time"
 
-// maxTimed bounds the senders whose delay is known: those of a group, and of earlier
-// starts.
-const maxTimed = 256
+// maxSenders bounds the tracked senders. It suffices for the gateways of a group and
+// their earlier starts.
+const maxSenders = 256
 
-// delays estimates how long datagrams were on their way, beyond the least that
-// one of the same sender took.
+// delayEstimator estimates the delay of datagrams beyond the minimum for their sender.
 //
-// A gateway that was stopped, or whose processor is too slow for what it is
-// told, finds datagrams that have waited in its socket. A confirmation that
-// waited there says that the store's state of some seconds ago is the newest;
-// taken for fresh, it has a gateway deny a route that was added meanwhile, and
-// one notices by callers who get 404 from one VM only. Two clocks are never
-// compared, but their difference stays the same, so that a datagram shows its
-// delay by a greater one.
-type delays struct {
-	least map[uint64]*timing
+// A gateway that was suspended, or whose processor is too slow for the messages it
+// receives, finds datagrams that were queued in its socket. A confirmation that was
+// queued there says that the store's state of some seconds ago is the newest. Taken as
+// recent, it makes the gateway deny a route that was added meanwhile. Symptom: callers
+// get 404 from one VM only.
+//
+// The clocks of two VMs are not comparable, but the offset between them is constant: a
+// datagram with a larger offset than the minimum was delayed by the difference.
+type delayEstimator struct {
+	senders map[uint64]*senderClock
 }
 
-// timing is what is known of one start of a sender.
-type timing struct {
-	// least is the least difference between its clock and this VM's.
-	least time.Duration
-	// heard is when it was last heard, by this VM's clock.
-	heard time.Duration
+// senderClock tracks the clock of one start of a sender.
+type senderClock struct {
+	// minOffset is the minimum offset of this VM's clock from the sender's.
+	minOffset time.Duration
+	// lastReceived is when its last datagram was received, by this VM's clock.
+	lastReceived time.Duration
 }
 
-func newDelays() *delays { return &delays{least: make(map[uint64]*timing)} }
+func newDelayEstimator() *delayEstimator {
+	return &delayEstimator{senders: make(map[uint64]*senderClock)}
+}
 
-// of returns the delay of a datagram that a start of a sender sent at a time of
-// its clock and that is taken in now by this VM's. The first one of a start is
-// taken to have none.
-func (d *delays) of(start uint64, sent, now time.Duration) time.Duration {
-	difference := now - sent
-	t, ok := d.least[start]
+// estimate returns the delay of a datagram. sent is by the clock of the sender's start, now
+// by this VM's clock. It returns 0 for the first datagram of a start.
+func (d *delayEstimator) estimate(start uint64, sent, now time.Duration) time.Duration {
+	offset := now - sent
+	t, ok := d.senders[start]
 	if !ok {
-		d.makeRoom()
-		t = &timing{least: difference}
-		d.least[start] = t
+		d.evictOldest()
+		t = &senderClock{minOffset: offset}
+		d.senders[start] = t
 	}
-	t.heard = now
-	t.least = min(t.least, difference)
-	return difference - t.least
+	t.lastReceived = now
+	t.minOffset = min(t.minOffset, offset)
+	return offset - t.minOffset
 }
 
-// makeRoom forgets the sender that was silent for longest.
-func (d *delays) makeRoom() {
-	if len(d.least) < maxTimed {
+// evictOldest drops the least recently received sender if there are maxSenders.
+func (d *delayEstimator) evictOldest() {
+	if len(d.senders) < maxSenders {
 		return
 	}
 	var oldest uint64
-	var heard time.Duration
-	for start, t := range d.least {
-		if oldest == 0 || t.heard < heard {
-			oldest, heard = start, t.heard
+	var received time.Duration
+	for start, t := range d.senders {
+		if oldest == 0 || t.lastReceived < received {
+			oldest, received = start, t.lastReceived
 		}
 	}
-	delete(d.least, oldest)
+	delete(d.senders, oldest)
 }
--- a/internal/peers/outbox.go
+++ b/internal/peers/outbox.go
@@ -12,85 +12,85 @@
 	"pistachioroad.dev/pistachioroad/internal/wire"
 )
 
-// audience is whom a message is for.
+// audience is a set of recipients.
 type audience uint8
 
 const (
-	// everyone is all other gateways.
-	everyone audience = iota
-	// group is those that place on the same engines.
-	group
-	// some are a few of the others, others each time.
-	some
-	audiences
+	// allPeers are all other gateways.
+	allPeers audience = iota
+	// ownGroup are the other gateways that assign requests to the same engines.
+	ownGroup
+	// randomPeers are a few of the other gateways, sampled for each datagram.
+	randomPeers
+	audienceCount
 )
 
-// mostOfSome is how many gateways some are.
-const mostOfSome = 3
+// randomPeerCount is the size of the sample for randomPeers.
+const randomPeerCount = 3
 
-// outbox collects messages for one audience into a datagram.
+// outbox collects the messages to one audience into a datagram.
 type outbox struct {
 	pending *wire.Share
 	size    int
 	timer   *time.Timer
-	// due is when the timer ends.
+	// due is when the timer fires.
 	due time.Time
 }
 
-// JoinGroup implements gateway.Share.
+// JoinGroup implements gateway.Gossip.
 func (p *Peers) JoinGroup(count uint64) place.Group {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.group.Count != count {
 		p.group = place.GroupOf(p.name, count)
-		p.membership++
-		p.findMembers()
+		p.membershipVersion++
+		p.updateGroupMembers()
 	}
 	return p.group
 }
 
-// findMembers looks for the other gateways of the group.
-func (p *Peers) findMembers() {
-	p.members = make(map[string]netip.AddrPort)
+// updateGroupMembers recomputes the other gateways of the group.
+func (p *Peers) updateGroupMembers() {
+	p.groupMembers = make(map[string]netip.AddrPort)
 	for name, address := range p.others {
 		if place.GroupOf(name, p.group.Count).Index == p.group.Index {
-			p.members[name] = address
+			p.groupMembers[name] = address
 		}
 	}
 }
 
-func (p *Peers) addresses(to audience) map[string]netip.AddrPort {
+func (p *Peers) recipients(to audience) map[string]netip.AddrPort {
 	switch to {
-	case group:
-		return p.members
-	case some:
-		return p.someOthers()
+	case ownGroup:
+		return p.groupMembers
+	case randomPeers:
+		return p.samplePeers()
 	default:
 		return p.others
 	}
 }
 
-// someOthers returns a few of the other gateways, at random.
-func (p *Peers) someOthers() map[string]netip.AddrPort {
-	names := lo.Samples(lo.Keys(p.others), mostOfSome)
+// samplePeers returns a random sample of the other gateways.
+func (p *Peers) samplePeers() map[string]netip.AddrPort {
+	names := lo.Samples(lo.Keys(p.others), randomPeerCount)
 	return lo.PickByKeys(p.others, names)
 }
 
-// tell adds to the next datagram for an audience, which leaves within a time.
-func (p *Peers) tell(to audience, within time.Duration, size int, add func(*wire.Share)) {
+// enqueue adds a message to the next datagram to an audience, which is sent within a time.
+func (p *Peers) enqueue(to audience, within time.Duration, size int, add func(*wire.Share)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.addresses(to)) == 0 {
+	if len(p.recipients(to)) == 0 {
 		return
 	}
 	box := &p.outboxes[to]
-	if box.pending != nil && box.size+size > maxDatagram {
+	if box.pending != nil && box.size+size > maxDatagramBytes {
 		p.flush(to)
 	}
 	due := time.Now().Add(within)
 	switch {
 	case box.pending == nil:
-		box.pending = &wire.Share{Sender: uint32(p.start)}
+		box.pending = &wire.Share{Sender: uint32(p.startID)}
 		box.size = 0
 		box.due = due
 		box.timer = time.AfterFunc(within, func() { p.flushDue(to) })
@@ -102,15 +102,15 @@
 	box.size += size
 }
 
-// flushDue is flush once its time has come.
+// flushDue flushes when the timer of an outbox fires.
 func (p *Peers) flushDue(to audience) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.flush(to)
 }
 
-// flush sends what waits to all of an audience. Datagrams that cannot be sent
-// count as lost.
+// flush sends the pending datagram to an audience. Datagrams that cannot be sent count as
+// dropped.
 func (p *Peers) flush(to audience) {
 	box := &p.outboxes[to]
 	if box.pending == nil {
@@ -124,7 +124,7 @@
 		p.dropped.Inc(1)
 		return
 	}
-	for _, address := range p.addresses(to) {
+	for _, address := range p.recipients(to) {
 		if _, err := p.conn.WriteToUDPAddrPort(data, address); err != nil {
 			p.dropped.Inc(1)
 			continue
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,10 +1,11 @@
-// Package peers lets the gateways of a deployment tell each other what they do
-// at the model engines.
+// Package peers implements gossip between the gateways of a deployment about their
+// requests at the model engines, about backend servers, and about the store.
 //
-// Without it each gateway sees its own requests only: eight of them take the
-// same engine for idle at once, and read a shared part at eight engines that one
-// keeps. They find each other through objects of the store and speak by
-// datagrams, which may be lost: what is told only sharpens a guess.
+// Without it, each gateway sees only its own requests: eight gateways would assign
+// requests to the same idle engine at the same time, and prefill a shared segment at
+// eight engines although one has it cached. Gateways discover each other through objects of
+// the store and exchange UDP datagrams. Datagrams may be lost, as their content only
+// improves estimates.
 package peers
 
 import (
@@ -36,88 +37,88 @@
 )
 
 const (
-	// flushAfter collects what happens within it into one datagram. It is well
-	// under the time between two requests that could use it.
-	flushAfter = 2 * time.Millisecond
-	// endedAfter is the same for ends of jobs: most leave with something else by
-	// then, and a decoder's streams change little meanwhile.
-	endedAfter = 25 * time.Millisecond
-	// lateDatagram is a delay that is counted: many of them mean that this VM is
-	// too slow for what it is told.
-	lateDatagram = time.Second
-	// lateRead is the delay from which what a datagram says of reads is not learned
-	// from.
-	lateRead = 500 * time.Millisecond
-	// maxDatagram keeps a datagram within one packet of common networks.
-	maxDatagram = 1_200
+	// flushDelay is how long messages are collected into one datagram. It is well
+	// below the time between two requests for which they could be useful.
+	flushDelay = 2 * time.Millisecond
+	// finishedFlushDelay is the same for finished jobs: most are sent along with other
+	// messages by then, and the load of a decode engine changes little meanwhile.
+	finishedFlushDelay = 25 * time.Millisecond
+	// lateConfirmationDelay is the delay above which a confirmation counts as late. Many
+	// late ones mean that this VM is too slow for the messages it receives.
+	lateConfirmationDelay = time.Second
+	// maxPlacementDelay is the delay of a datagram above which its placements and
+	// prefills are not learned from.
+	maxPlacementDelay = 500 * time.Millisecond
+	// maxDatagramBytes keeps a datagram within one packet on common networks.
+	maxDatagramBytes = 1_200
 )
 
-// Receiver takes in what other gateways tell.
+// Receiver handles the announcements of other gateways.
 type Receiver interface {
-	// Engine returns the engine with a hash, and its service.
+	// EngineByHash returns the engine with a hash, and its service.
 	EngineByHash(hash uint32) (service, id string, ok bool)
 	RemotePlacement(service string, p place.Placement)
 	RemotePrefillDone(id place.JobID)
 	RemoteFinished(id place.JobID)
 	RemoteAvoid(service, engine string, d time.Duration)
 	RemoteTermination(e quarantine.Evidence)
-	// RemoteServerLimit takes in what a server said of its limit to the gateway whose
-	// start from names.
+	// RemoteServerLimit handles the limit that a server stated to another gateway. from is
+	// the start id of the gateway that announced it.
 	RemoteServerLimit(from string, n ratelimit.Notice)
 	RemoteConfirmation(now time.Time, c directory.Confirmation)
 	RemoteServerChange(now time.Time, c directory.Change)
 }
 
-// Peers speaks with the other gateways.
+// Peers exchanges announcements with the other gateways.
 type Peers struct {
 	name     string
-	start    uint64
+	startID  uint64
 	conn     *net.UDPConn
 	receiver Receiver
-	// delays is used by Receive only.
-	delays *delays
+	// delays is used only by Receive.
+	delays *delayEstimator
 
 	mu     sync.Mutex
 	others map[string]netip.AddrPort
-	// listed says that the others were listed, membership counts the changes of who they
-	// are and of the group.
-	listed     bool
-	membership uint64
-	rank       int
-	// group is this gateway's, members are the others in it.
-	group    place.Group
-	members  map[string]netip.AddrPort
-	outboxes [audiences]outbox
+	// listed says that others has been set, membershipVersion counts the changes of others
+	// and group.
+	listed            bool
+	membershipVersion uint64
+	rank              int
+	// group is this gateway's group, groupMembers are the other gateways in it.
+	group        place.Group
+	groupMembers map[string]netip.AddrPort
+	outboxes     [audienceCount]outbox
 
 	sent, received, dropped, late metrics.Counter
 }
 
-// Config is what Peers is made of.
+// Config is the configuration of Peers.
 type Config struct {
-	// Name is this VM's.
+	// Name is the name of this VM.
 	Name string
-	// Start is random per start of the process.
+	// StartID is a random id of this start of the process.
 	StartID uint64
-	// Address is the IP:PORT for datagrams.
+	// Address is the IP:PORT on which to receive datagrams.
 	Address string
 }
 
-// New listens for datagrams.
+// New returns Peers that listen for datagrams. Call Receive to handle them.
 func New(c Config, r Receiver) (*Peers, error) {
 	addr, err := netip.ParseAddrPort(c.Address)
 	if err != nil {
-		return nil, eris.Wrap(err, "peers")
+		return nil, eris.Wrap(err, "peers: parse address")
 	}
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
-		return nil, eris.Wrap(err, "peers")
+		return nil, eris.Wrap(err, "peers: listen for datagrams")
 	}
 	p := &Peers{
 		name:     c.Name,
-		start:    c.StartID,
+		startID:  c.StartID,
 		conn:     conn,
 		receiver: r,
-		delays:   newDelays(),
+		delays:   newDelayEstimator(),
 		others:   make(map[string]netip.AddrPort),
 		sent:     metrics.GetOrRegisterCounter("peers.datagrams_sent", nil),
 		received: metrics.GetOrRegisterCounter("peers.datagrams_received", nil),
@@ -127,23 +128,23 @@
 	return p, nil
 }
 
-// Count returns how many gateways are known, this one included.
+// GatewayCount returns the number of known gateways, including this one.
 func (p *Peers) GatewayCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.others) + 1
 }
 
-// Rank returns this gateway's place among those known.
+// Rank returns this gateway's rank among the known ones, from 0.
 func (p *Peers) Rank() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.rank
 }
 
-// rankAmong returns a gateway's place among others. It goes by a hash of the
-// name, so that the first ones are spread over the data centres.
-func rankAmong(gateway string, others map[string]netip.AddrPort) int {
+// rankByHash returns a gateway's rank among others, by a hash of the names so that
+// the first ones are spread over the data centres.
+func rankByHash(gateway string, others map[string]netip.AddrPort) int {
 	own := xxhash.Sum64String(gateway)
 	rank := 0
 	for name := range others {
@@ -154,15 +155,16 @@
 	return rank
 }
 
-// watchers is how many gateways watch the store for all. With one, each of its
-// failures would make all others watch for a while; three seldom fail at once.
-const watchers = 3
+// watcherCount is the number of gateways that watch the store on behalf of all. With
+// only one, each of its failures would make all others watch for a while; three rarely
+// fail at the same time.
+const watcherCount = 3
 
-// Watcher reports whether this gateway is one of those that watch.
-func (p *Peers) IsWatcher() bool { return p.Rank() < watchers }
+// IsWatcher reports whether this gateway is one of those that watch the store.
+func (p *Peers) IsWatcher() bool { return p.Rank() < watcherCount }
 
-// Addresses returns where all known gateways take datagrams, by VM, this one
-// included.
+// Addresses returns the datagram addresses of all known gateways, including this one,
+// by VM.
 func (p *Peers) Addresses() map[string]netip.AddrPort {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -173,7 +175,7 @@
 	return all
 }
 
-// Set replaces the addresses of the other gateways, by VM.
+// SetPeers replaces the addresses of the other gateways, by VM.
 func (p *Peers) SetPeers(others map[string]netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -182,75 +184,75 @@
 		log.WithField("peers", len(others)).Info("peers changed")
 	}
 	if !p.listed || !maps.Equal(others, p.others) {
-		p.membership++
+		p.membershipVersion++
 	}
 	p.others = others
 	p.listed = true
-	p.rank = rankAmong(p.name, others)
-	p.findMembers()
+	p.rank = rankByHash(p.name, others)
+	p.updateGroupMembers()
 }
 
-// Placed implements gateway.Share.
-func (p *Peers) AnnouncePlacement(placed place.Placement) {
+// AnnouncePlacement implements gateway.Gossip.
+func (p *Peers) AnnouncePlacement(placement place.Placement) {
 	m := &wire.Placed{
-		Job:    uint32(placed.ID),
-		Reader: place.EngineHash(placed.Plan.PrefillEngine),
-		Kept:   uint32(max(0, placed.Plan.CachedTokens)),
-		LeftMs: uint32(max(0, placed.Remaining.Milliseconds())),
-		Length: uint32(max(0, placed.Prompt.Output)),
-		Done:   uint32(max(0, placed.Prompt.Done)),
-	}
-	if placed.Plan.Split() {
-		m.Decoder = place.EngineHash(placed.Plan.DecodeEngine)
-	}
-	sum := 0
-	for _, part := range placed.Prompt.Segments {
-		m.PartIds = append(m.PartIds, part.ID)
-		m.PartTokens = append(m.PartTokens, uint32(part.Tokens))
-		sum += part.Tokens
-	}
-	if sum != placed.Prompt.Tokens {
-		m.Tokens = uint32(max(0, placed.Prompt.Tokens))
-	}
-	p.tell(group, flushAfter, proto.Size(m), func(s *wire.Share) { s.Placed = append(s.Placed, m) })
+		Job:    uint32(placement.ID),
+		Reader: place.EngineHash(placement.Plan.PrefillEngine),
+		Kept:   uint32(max(0, placement.Plan.CachedTokens)),
+		LeftMs: uint32(max(0, placement.Remaining.Milliseconds())),
+		Length: uint32(max(0, placement.Prompt.Output)),
+		Done:   uint32(max(0, placement.Prompt.Done)),
+	}
+	if placement.Plan.Split() {
+		m.Decoder = place.EngineHash(placement.Plan.DecodeEngine)
+	}
+	total := 0
+	for _, segment := range placement.Prompt.Segments {
+		m.PartIds = append(m.PartIds, segment.ID)
+		m.PartTokens = append(m.PartTokens, uint32(segment.Tokens))
+		total += segment.Tokens
+	}
+	if total != placement.Prompt.Tokens {
+		m.Tokens = uint32(max(0, placement.Prompt.Tokens))
+	}
+	p.enqueue(ownGroup, flushDelay, proto.Size(m), func(s *wire.Share) { s.Placed = append(s.Placed, m) })
 }
 
-// jobSize is the size of a job in a datagram.
-const jobSize = 4
+// jobIDBytes is the size of a job id in a datagram.
+const jobIDBytes = 4
 
-// ReadDone implements gateway.Share.
+// AnnouncePrefillDone implements gateway.Gossip.
 func (p *Peers) AnnouncePrefillDone(id place.JobID) {
-	p.tell(group, flushAfter, jobSize, func(s *wire.Share) { s.ReadDone = append(s.ReadDone, uint32(id)) })
+	p.enqueue(ownGroup, flushDelay, jobIDBytes, func(s *wire.Share) { s.ReadDone = append(s.ReadDone, uint32(id)) })
 }
 
-// Ended implements gateway.Share.
+// AnnounceFinished implements gateway.Gossip.
 func (p *Peers) AnnounceFinished(id place.JobID) {
-	p.tell(group, endedAfter, jobSize, func(s *wire.Share) { s.Ended = append(s.Ended, uint32(id)) })
+	p.enqueue(ownGroup, finishedFlushDelay, jobIDBytes, func(s *wire.Share) { s.Ended = append(s.Ended, uint32(id)) })
 }
 
-// Avoid implements gateway.Share.
+// AnnounceAvoid implements gateway.Gossip.
 func (p *Peers) AnnounceAvoid(service, engine string, d time.Duration) {
 	m := &wire.Avoid{Service: service, Engine: engine, ForMs: uint32(d.Milliseconds())}
-	p.tell(everyone, flushAfter, proto.Size(m), func(s *wire.Share) { s.Avoid = append(s.Avoid, m) })
+	p.enqueue(allPeers, flushDelay, proto.Size(m), func(s *wire.Share) { s.Avoid = append(s.Avoid, m) })
 }
 
-// ServerEnded implements gateway.Share.
-func (p *Peers) AnnounceTermination(e quarantine.Evidence) { p.tellServerEnded(everyone, e) }
+// AnnounceTermination implements gateway.Gossip.
+func (p *Peers) AnnounceTermination(e quarantine.Evidence) { p.sendTermination(allPeers, e) }
 
-// ServerEndedAgain implements gateway.Share. Each of those that are told tells others,
-// so that all know it after a few rounds.
-func (p *Peers) ReannounceTermination(e quarantine.Evidence) { p.tellServerEnded(some, e) }
+// ReannounceTermination implements gateway.Gossip. Each recipient reannounces it to
+// others, so that it reaches all gateways after a few rounds.
+func (p *Peers) ReannounceTermination(e quarantine.Evidence) { p.sendTermination(randomPeers, e) }
 
-func (p *Peers) tellServerEnded(to audience, e quarantine.Evidence) {
+func (p *Peers) sendTermination(to audience, e quarantine.Evidence) {
 	m := &wire.ServerEnded{
 		Request: uint64(e.Request), Server: e.Instance.ID, Incarnation: e.Instance.Incarnation,
 		AgeMs: uint32(max(0, time.Since(e.ObservedAt).Milliseconds())), RanMs: uint32(max(0, e.ObservedAt.Sub(e.SentAt).Milliseconds())),
 	}
-	p.tell(to, flushAfter, proto.Size(m), func(s *wire.Share) { s.ServersEnded = append(s.ServersEnded, m) })
+	p.enqueue(to, flushDelay, proto.Size(m), func(s *wire.Share) { s.ServersEnded = append(s.ServersEnded, m) })
 }
 
-// serverEnded decodes evidence of another gateway.
-func serverEnded(now time.Time, m *wire.ServerEnded) quarantine.Evidence {
+// decodeTermination decodes the evidence of another gateway.
+func decodeTermination(now time.Time, m *wire.ServerEnded) quarantine.Evidence {
 	at := now.Add(-time.Duration(m.AgeMs) * time.Millisecond)
 	return quarantine.Evidence{
 		Request:    request.Fingerprint(m.Request),
@@ -260,79 +262,80 @@
 	}
 }
 
-// RankFor implements gateway.Share. Of an engine of some group, its gateways count.
+// RankFor implements gateway.Gossip. It ranks only the gateways whose group includes the
+// server, or all of them if there are none.
 func (p *Peers) RankFor(server string, round uint64) ratelimit.Rank {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.listed {
 		return ratelimit.Rank{}
 	}
-	among := lo.Filter(append(lo.Keys(p.others), p.name), func(name string, _ int) bool {
+	ranked := lo.Filter(append(lo.Keys(p.others), p.name), func(name string, _ int) bool {
 		return place.GroupOf(name, p.group.Count).Has(server)
 	})
-	if len(among) == 0 {
-		among = append(lo.Keys(p.others), p.name)
+	if len(ranked) == 0 {
+		ranked = append(lo.Keys(p.others), p.name)
 	}
-	return ratelimit.RankAmong(p.name, among, server, round)
+	return ratelimit.RankAmong(p.name, ranked, server, round)
 }
 
-// Membership implements gateway.Share.
+// MembershipVersion implements gateway.Gossip.
 func (p *Peers) MembershipVersion() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.membership
+	return p.membershipVersion
 }
 
-// ServerLimit implements gateway.Share.
-func (p *Peers) AnnounceServerLimit(n ratelimit.Notice) { p.tellServerLimit(everyone, n) }
+// AnnounceServerLimit implements gateway.Gossip.
+func (p *Peers) AnnounceServerLimit(n ratelimit.Notice) { p.sendServerLimit(allPeers, n) }
 
-// ServerLimitAgain implements gateway.Share.
-func (p *Peers) ReannounceServerLimit(n ratelimit.Notice) { p.tellServerLimit(some, n) }
+// ReannounceServerLimit implements gateway.Gossip.
+func (p *Peers) ReannounceServerLimit(n ratelimit.Notice) { p.sendServerLimit(randomPeers, n) }
 
-func (p *Peers) tellServerLimit(to audience, n ratelimit.Notice) {
+func (p *Peers) sendServerLimit(to audience, n ratelimit.Notice) {
 	m := &wire.ServerLimit{
 		Server: n.Server.ID, Incarnation: n.Server.Incarnation, Named: n.Limited, PerSecond: n.PerSecond, Weak: n.Unauthenticated,
 		HeardAgeMs: uint32(max(0, (boottime.Now() - n.ReceivedAt).Milliseconds())),
 		AnswerMs:   uint32(max(0, (n.ReceivedAt - n.RequestedAt).Milliseconds())),
 	}
-	p.tell(to, flushAfter, proto.Size(m), func(s *wire.Share) { s.ServerLimits = append(s.ServerLimits, m) })
+	p.enqueue(to, flushDelay, proto.Size(m), func(s *wire.Share) { s.ServerLimits = append(s.ServerLimits, m) })
 }
 
-// serverLimit decodes a notice of another gateway whose datagram was on its way for a
-// time.
-func serverLimit(now, delay time.Duration, m *wire.ServerLimit) ratelimit.Notice {
-	heard := now - delay - time.Duration(m.HeardAgeMs)*time.Millisecond
+// decodeLimit decodes the notice of another gateway from a datagram with a delay.
+func decodeLimit(now, delay time.Duration, m *wire.ServerLimit) ratelimit.Notice {
+	received := now - delay - time.Duration(m.HeardAgeMs)*time.Millisecond
 	return ratelimit.Notice{
 		Server:  backend.Instance{ID: m.Server, Incarnation: m.Incarnation},
 		Limited: m.Named, PerSecond: m.PerSecond, Unauthenticated: m.Weak,
-		RequestedAt: heard - time.Duration(m.AnswerMs)*time.Millisecond, ReceivedAt: heard,
+		RequestedAt: received - time.Duration(m.AnswerMs)*time.Millisecond, ReceivedAt: received,
 	}
 }
 
-// Confirm tells what the store has confirmed to this gateway.
+// AnnounceConfirmation announces what the store has confirmed to this gateway.
 func (p *Peers) AnnounceConfirmation(c directory.Confirmation) {
 	m := &wire.Confirmation{
 		ConfigRevision:  c.ConfigRevision,
 		ServersRevision: c.ServersRevision,
 		AgeMs:           uint32(c.Age.Milliseconds()),
-		Start:           p.start,
+		Start:           p.startID,
 		SentUs:          uint64(boottime.Now().Microseconds()),
 	}
-	p.tell(everyone, flushAfter, proto.Size(m), func(s *wire.Share) { s.Confirmation = m })
+	p.enqueue(allPeers, flushDelay, proto.Size(m), func(s *wire.Share) { s.Confirmation = m })
 }
 
-// Entry tells a change of a backend server's entry. One that does not fit a
-// datagram is left out: the others list when they hear of its revision.
+// AnnounceServerChange announces a change of a backend server's object. One that does
+// not fit into a datagram is not sent: the others list the objects when they learn of
+// its revision.
 func (p *Peers) AnnounceServerChange(c directory.Change) {
 	m := &wire.Entry{
 		Name: c.Object.Name, Revision: c.Object.Revision, Spec: c.Object.Spec, Removed: c.Removed, After: c.After,
 	}
-	if size := proto.Size(m); size < maxDatagram {
-		p.tell(everyone, flushAfter, size, func(s *wire.Share) { s.Entries = append(s.Entries, m) })
+	if size := proto.Size(m); size < maxDatagramBytes {
+		p.enqueue(allPeers, flushDelay, size, func(s *wire.Share) { s.Entries = append(s.Entries, m) })
 	}
 }
 
-// Receive takes in datagrams until ctx ends.
+// Receive handles datagrams until ctx is done.
 func (p *Peers) Receive(ctx context.Context) error {
 	defer context.AfterFunc(ctx, func() { p.conn.Close() })()
 	buf := make([]byte, 64<<10)
@@ -347,51 +350,52 @@
 			p.dropped.Inc(1)
 			continue
 		}
-		p.take(&s)
+		p.dispatch(&s)
 	}
 }
 
-// takePlaced takes in a placement of another gateway. One at engines that are not
-// known here is dropped.
-func (p *Peers) takePlaced(m *wire.Placed) {
-	service, reader, ok := p.receiver.EngineByHash(m.Reader)
+// receivePlacement handles a placement by another gateway. It drops one whose prefill
+// engine is unknown here.
+func (p *Peers) receivePlacement(m *wire.Placed) {
+	service, prefillEngine, ok := p.receiver.EngineByHash(m.Reader)
 	if !ok {
 		p.dropped.Inc(1)
 		return
 	}
-	decoder := reader
+	decodeEngine := prefillEngine
 	if m.Decoder != 0 {
-		_, decoder, _ = p.receiver.EngineByHash(m.Decoder)
+		_, decodeEngine, _ = p.receiver.EngineByHash(m.Decoder)
 	}
-	placed := place.Placement{
+	placement := place.Placement{
 		ID:        place.JobID(m.Job),
-		Plan:      place.Plan{PrefillEngine: reader, DecodeEngine: decoder, CachedTokens: int(m.Kept)},
+		Plan:      place.Plan{PrefillEngine: prefillEngine, DecodeEngine: decodeEngine, CachedTokens: int(m.Kept)},
 		Remaining: time.Duration(m.LeftMs) * time.Millisecond,
-		Prompt:    prompt(m),
+		Prompt:    decodePrompt(m),
 	}
-	p.receiver.RemotePlacement(service, placed)
+	p.receiver.RemotePlacement(service, placement)
 }
 
-// prompt decodes the prompt of a placement.
-func prompt(m *wire.Placed) request.Prompt {
+// decodePrompt decodes the prompt of a placement.
+func decodePrompt(m *wire.Placed) request.Prompt {
 	decoded := request.Prompt{Tokens: int(m.Tokens), Output: int(m.Length), Done: int(m.Done)}
-	sum := 0
+	total := 0
 	for i := range min(len(m.PartIds), len(m.PartTokens)) {
 		tokens := int(m.PartTokens[i])
 		decoded.Segments = append(decoded.Segments, request.Segment{ID: m.PartIds[i], Tokens: tokens})
-		sum += tokens
+		total += tokens
 	}
 	if decoded.Tokens == 0 {
-		decoded.Tokens = sum
+		decoded.Tokens = total
 	}
 	return decoded
 }
 
-// confirmation decodes what another gateway's watches confirmed.
-func (p *Peers) confirmation(m *wire.Confirmation) directory.Confirmation {
+// decodeConfirmation decodes what the store has confirmed to another gateway. The delay of
+// the datagram is added to its age.
+func (p *Peers) decodeConfirmation(m *wire.Confirmation) directory.Confirmation {
 	sent := time.Duration(m.SentUs) * time.Microsecond
-	delay := p.delays.of(m.Start, sent, boottime.Now())
-	if delay > lateDatagram {
+	delay := p.delays.estimate(m.Start, sent, boottime.Now())
+	if delay > lateConfirmationDelay {
 		p.late.Inc(1)
 	}
 	return directory.Confirmation{
@@ -401,12 +405,13 @@
 	}
 }
 
-func (p *Peers) take(s *wire.Share) {
-	if s.Sender == uint32(p.start) {
+// dispatch passes the messages of a datagram to the Receiver.
+func (p *Peers) dispatch(s *wire.Share) {
+	if s.Sender == uint32(p.startID) {
 		return
 	}
-	delay := p.delays.of(uint64(s.Sender), time.Duration(s.SentMs)*time.Millisecond, boottime.Now())
-	p.takeReads(s, delay)
+	delay := p.delays.estimate(uint64(s.Sender), time.Duration(s.SentMs)*time.Millisecond, boottime.Now())
+	p.receiveJobs(s, delay)
 	now := time.Now()
 	for _, m := range s.Entries {
 		p.receiver.RemoteServerChange(now, directory.Change{
@@ -417,34 +422,35 @@
 		})
 	}
 	if c := s.Confirmation; c != nil {
-		p.receiver.RemoteConfirmation(now, p.confirmation(c))
+		p.receiver.RemoteConfirmation(now, p.decodeConfirmation(c))
 	}
 	for _, m := range s.Avoid {
 		p.receiver.RemoteAvoid(m.Service, m.Engine, time.Duration(m.ForMs)*time.Millisecond)
 	}
 	for _, m := range s.ServersEnded {
-		p.receiver.RemoteTermination(serverEnded(now, m))
+		p.receiver.RemoteTermination(decodeTermination(now, m))
 	}
 	for _, m := range s.ServerLimits {
 		if math.IsNaN(m.PerSecond) || math.IsInf(m.PerSecond, 0) || m.PerSecond < 0 {
 			p.dropped.Inc(1)
 			continue
 		}
-		p.receiver.RemoteServerLimit(strconv.FormatUint(uint64(s.Sender), 16), serverLimit(boottime.Now(), delay, m))
+		p.receiver.RemoteServerLimit(strconv.FormatUint(uint64(s.Sender), 16), decodeLimit(boottime.Now(), delay, m))
 	}
 }
 
-// takeReads takes in what another gateway does at the engines, from a datagram that was
-// on its way for a time.
+// receiveJobs handles the placed, prefilled and finished jobs of another gateway from a
+// datagram with a delay.
 //
-// A gateway that stood still finds the begins and ends of thousands of reads in its
-// socket at once. Learned from, they say that reads take no time; one notices by a
-// gateway that lets in what nobody can serve for half a minute after it went on.
-func (p *Peers) takeReads(s *wire.Share, delay time.Duration) {
-	late := delay > lateRead
+// It does not learn from late datagrams. A gateway that was suspended finds the starts and
+// ends of thousands of prefills in its socket at the same time, as if prefills took no
+// time. Symptom: for half a minute after it resumes, the gateway admits requests that no
+// engine can serve.
+func (p *Peers) receiveJobs(s *wire.Share, delay time.Duration) {
+	late := delay > maxPlacementDelay
 	for _, m := range s.Placed {
 		if !late {
-			p.takePlaced(m)
+			p.receivePlacement(m)
 		}
 	}
 	for _, id := range s.ReadDone {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -34,30 +34,28 @@
 	RunSpecs(t, "peers")
 }
 
-// heard is what a gateway was told.
-type heard struct {
-	mu     sync.Mutex
-	placed map[place.JobID]place.Placement
-	parts  int
-	read   map[place.JobID]bool
-	ended  map[place.JobID]bool
-	avoids int
-	// stands says that it stands still for as long as it is told to avoid an engine.
-	stands bool
-	// evidence is what was told of servers that ended.
+// recorder is a Receiver that records the announcements.
+type recorder struct {
+	mu         sync.Mutex
+	placements map[place.JobID]place.Placement
+	segments   int
+	prefilled  map[place.JobID]bool
+	finished   map[place.JobID]bool
+	avoids     int
+	// blocks makes RemoteAvoid block for the announced time.
+	blocks   bool
 	evidence []quarantine.Evidence
-	// limits is what was told of the limits of servers.
-	limits []ratelimit.Notice
+	limits   []ratelimit.Notice
 }
 
-// startPeers starts some gateways that do not know each other, with what each was told and
-// where each takes datagrams, by name.
-func startPeers(count int) (all []*peers.Peers, told map[string]*heard, addresses map[string]netip.AddrPort) {
-	told, addresses = map[string]*heard{}, map[string]netip.AddrPort{}
+// startGateways starts gateways that do not know each other. It returns them with their
+// recorders and addresses, by name.
+func startGateways(count int) (all []*peers.Peers, recorders map[string]*recorder, addresses map[string]netip.AddrPort) {
+	recorders, addresses = map[string]*recorder{}, map[string]netip.AddrPort{}
 	for n := range count {
 		name := "f-" + strconv.Itoa(n)
-		told[name] = newHeard()
-		p, err := peers.New(peers.Config{Name: name, StartID: rand.Uint64(), Address: "127.0.0.1:0"}, told[name])
+		recorders[name] = newRecorder()
+		p, err := peers.New(peers.Config{Name: name, StartID: rand.Uint64(), Address: "127.0.0.1:0"}, recorders[name])
 		Expect(err).NotTo(HaveOccurred())
 		ctx, stop := context.WithCancel(context.Background())
 		DeferCleanup(stop)
@@ -65,20 +63,20 @@
 		addresses[name] = p.Addresses()[name]
 		all = append(all, p)
 	}
-	return all, told, addresses
+	return all, recorders, addresses
 }
 
-func (h *heard) avoided() int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.avoids
+func (r *recorder) avoidCount() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.avoids
 }
 
-func newHeard() *heard {
-	return &heard{placed: map[place.JobID]place.Placement{}, read: map[place.JobID]bool{}, ended: map[place.JobID]bool{}}
+func newRecorder() *recorder {
+	return &recorder{placements: map[place.JobID]place.Placement{}, prefilled: map[place.JobID]bool{}, finished: map[place.JobID]bool{}}
 }
 
-func (h *heard) EngineByHash(hash uint32) (service, id string, ok bool) {
+func (r *recorder) EngineByHash(hash uint32) (service, id string, ok bool) {
 	for _, id := range []string{"i-p", "i-d"} {
 		if place.EngineHash(id) == hash {
 			return "llm", id, true
@@ -87,53 +85,53 @@
 	return "", "", false
 }
 
-func (h *heard) RemotePlacement(_ string, p place.Placement) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.placed[p.ID] = p
-	h.parts += len(p.Prompt.Segments)
+func (r *recorder) RemotePlacement(_ string, p place.Placement) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.placements[p.ID] = p
+	r.segments += len(p.Prompt.Segments)
 }
 
-func (h *heard) RemotePrefillDone(id place.JobID) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.read[id] = true
+func (r *recorder) RemotePrefillDone(id place.JobID) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.prefilled[id] = true
 }
 
-func (h *heard) RemoteFinished(id place.JobID) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.ended[id] = true
+func (r *recorder) RemoteFinished(id place.JobID) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.finished[id] = true
 }
 
-func (h *heard) RemoteAvoid(_, _ string, d time.Duration) {
-	if h.stands {
+func (r *recorder) RemoteAvoid(_, _ string, d time.Duration) {
+	if r.blocks {
 		time.Sleep(d)
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.avoids++
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.avoids++
 }
 
-func (h *heard) RemoteTermination(e quarantine.Evidence) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.evidence = append(h.evidence, e)
+func (r *recorder) RemoteTermination(e quarantine.Evidence) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.evidence = append(r.evidence, e)
 }
 
-func (h *heard) RemoteServerLimit(_ string, n ratelimit.Notice) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.limits = append(h.limits, n)
+func (r *recorder) RemoteServerLimit(_ string, n ratelimit.Notice) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.limits = append(r.limits, n)
 }
 
-func (h *heard) RemoteConfirmation(time.Time, directory.Confirmation) {}
-func (h *heard) RemoteServerChange(time.Time, directory.Change)       {}
+func (r *recorder) RemoteConfirmation(time.Time, directory.Confirmation) {}
+func (r *recorder) RemoteServerChange(time.Time, directory.Change)       {}
 
-func (h *heard) jobs() (placed, read, ended int) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return len(h.placed), len(h.read), len(h.ended)
+func (r *recorder) jobs() (placed, prefilled, finished int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.placements), len(r.prefilled), len(r.finished)
 }
 
 func start(name string, client *platform.Store, r peers.Receiver) *peers.Peers {
@@ -147,126 +145,126 @@
 }
 
 var _ = Describe("gateways", func() {
-	It("find each other in the store and tell what they place", func() {
+	It("discover each other in the store and announce their placements", func() {
 		server := httptest.NewServer(objectstore.New())
 		DeferCleanup(server.CloseClientConnections)
 		client := platform.NewStore(strings.TrimPrefix(server.URL, "http://"))
-		told := newHeard()
-		a := start("f-1", client, newHeard())
-		b := start("f-2", client, told)
+		rec := newRecorder()
+		a := start("f-1", client, newRecorder())
+		b := start("f-2", client, rec)
 		Eventually(a.GatewayCount).WithTimeout(5 * time.Second).Should(Equal(2))
 		Eventually(b.GatewayCount).WithTimeout(5 * time.Second).Should(Equal(2))
 
-		placed := place.Placement{Remaining: 5 * time.Second}
-		placed.Prompt.Output, placed.Prompt.Done = 300, 20
-		placed.Prompt.Segments = []request.Segment{{ID: 1, Tokens: 100}, {ID: 2, Tokens: 50}}
-		placed.Prompt.Tokens = 150
-		placed.Plan = place.Plan{PrefillEngine: "i-p", DecodeEngine: "i-d", CachedTokens: 100}
+		placement := place.Placement{Remaining: 5 * time.Second}
+		placement.Prompt.Output, placement.Prompt.Done = 300, 20
+		placement.Prompt.Segments = []request.Segment{{ID: 1, Tokens: 100}, {ID: 2, Tokens: 50}}
+		placement.Prompt.Tokens = 150
+		placement.Plan = place.Plan{PrefillEngine: "i-p", DecodeEngine: "i-d", CachedTokens: 100}
 		for id := range place.JobID(100) {
-			placed.ID = id
-			a.AnnouncePlacement(placed)
+			placement.ID = id
+			a.AnnouncePlacement(placement)
 			a.AnnouncePrefillDone(id)
 			a.AnnounceFinished(id)
 		}
-		Eventually(func() int { placed, _, _ := told.jobs(); return placed }).Should(Equal(100))
-		Eventually(func() int { _, _, ended := told.jobs(); return ended }).Should(Equal(100))
-		placed.ID = 7
-		Expect(told.placed[7]).To(Equal(placed))
-		Expect(told.parts).To(Equal(200))
+		Eventually(func() int { placed, _, _ := rec.jobs(); return placed }).Should(Equal(100))
+		Eventually(func() int { _, _, finished := rec.jobs(); return finished }).Should(Equal(100))
+		placement.ID = 7
+		Expect(rec.placements[7]).To(Equal(placement))
+		Expect(rec.segments).To(Equal(200))
 	})
 
-	// Each request is told to every other gateway of the group. On VMs with links of
-	// 10 Mbit/s what is told takes the room of callers' requests, and their answers
-	// come a quarter of a second later than those of other VMs.
-	It("tell a request and its end in few bytes", func() {
+	// Guards against gossip that delays callers' requests: each request is announced to
+	// every other gateway of the group, which on VMs with 10 Mbit/s links delayed answers
+	// by a quarter of a second.
+	It("announce a request and its end in few bytes", func() {
 		listener, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(listener.Close)
-		p, err := peers.New(peers.Config{Name: "f-1", StartID: rand.Uint64(), Address: "127.0.0.1:0"}, newHeard())
+		p, err := peers.New(peers.Config{Name: "f-1", StartID: rand.Uint64(), Address: "127.0.0.1:0"}, newRecorder())
 		Expect(err).NotTo(HaveOccurred())
 		p.SetPeers(map[string]netip.AddrPort{"f-2": listener.LocalAddr().(*net.UDPAddr).AddrPort()})
 
-		placed := place.Placement{ID: 1 << 60, Remaining: 2 * time.Second}
-		placed.Prompt.Output = 90
-		placed.Prompt.Segments = []request.Segment{{ID: 0x5c1e07a2, Tokens: 2_520}, {ID: 0x91bd3f06, Tokens: 3_780}, {ID: 0xe4402b7d, Tokens: 2_890}}
-		placed.Prompt.Tokens = 9_190
-		placed.Plan = place.Plan{PrefillEngine: "i-7f3a91c2aa", DecodeEngine: "i-8f3a91c2aa", CachedTokens: 6_300}
-		p.AnnouncePlacement(placed)
-		p.AnnouncePrefillDone(placed.ID)
-		p.AnnounceFinished(placed.ID)
+		placement := place.Placement{ID: 1 << 60, Remaining: 2 * time.Second}
+		placement.Prompt.Output = 90
+		placement.Prompt.Segments = []request.Segment{{ID: 0x5c1e07a2, Tokens: 2_520}, {ID: 0x91bd3f06, Tokens: 3_780}, {ID: 0xe4402b7d, Tokens: 2_890}}
+		placement.Prompt.Tokens = 9_190
+		placement.Plan = place.Plan{PrefillEngine: "i-7f3a91c2aa", DecodeEngine: "i-8f3a91c2aa", CachedTokens: 6_300}
+		p.AnnouncePlacement(placement)
+		p.AnnouncePrefillDone(placement.ID)
+		p.AnnounceFinished(placement.ID)
 
-		const mostBytes = 90
+		const maxBytes = 90
 		buf := make([]byte, 64<<10)
 		Expect(listener.SetReadDeadline(time.Now().Add(5 * time.Second))).To(Succeed())
 		n, err := listener.Read(buf)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(n).To(BeNumerically("<=", mostBytes))
+		Expect(n).To(BeNumerically("<=", maxBytes))
 	})
 
-	// A VM is suspended for seconds. What the others did meanwhile waits in its socket,
-	// begins and ends of reads together, as if none had taken any time.
-	It("learn nothing of reads from datagrams that waited", func() {
-		told := newHeard()
-		told.stands = true
-		r, err := peers.New(peers.Config{Name: "f-2", StartID: rand.Uint64(), Address: "127.0.0.1:0"}, told)
+	// Guards against learning that prefills take no time: after a VM was suspended for
+	// seconds, the starts and ends of prefills are queued together in its socket.
+	It("do not learn about prefills from datagrams that were delayed", func() {
+		rec := newRecorder()
+		rec.blocks = true
+		receiver, err := peers.New(peers.Config{Name: "f-2", StartID: rand.Uint64(), Address: "127.0.0.1:0"}, rec)
 		Expect(err).NotTo(HaveOccurred())
 		ctx, stop := context.WithCancel(context.Background())
 		DeferCleanup(stop)
-		go func() { _ = r.Receive(ctx) }()
-		p, err := peers.New(peers.Config{Name: "f-1", StartID: rand.Uint64(), Address: "127.0.0.1:0"}, newHeard())
+		go func() { _ = receiver.Receive(ctx) }()
+		p, err := peers.New(peers.Config{Name: "f-1", StartID: rand.Uint64(), Address: "127.0.0.1:0"}, newRecorder())
 		Expect(err).NotTo(HaveOccurred())
-		p.SetPeers(map[string]netip.AddrPort{"f-2": r.Addresses()["f-2"]})
+		p.SetPeers(map[string]netip.AddrPort{"f-2": receiver.Addresses()["f-2"]})
 		p.JoinGroup(1)
-		read := func(id place.JobID) {
+		prefill := func(id place.JobID) {
 			p.AnnouncePlacement(place.Placement{ID: id, Plan: place.Plan{PrefillEngine: "i-p", DecodeEngine: "i-p"}})
 			p.AnnouncePrefillDone(id)
 		}
 		p.AnnounceAvoid("llm", "i-1", 1500*time.Millisecond)
 		time.Sleep(100 * time.Millisecond)
-		read(1)
-		Eventually(told.avoided).WithTimeout(5 * time.Second).Should(Equal(1))
-		read(2)
-		Eventually(func() int { _, read, _ := told.jobs(); return read }).Should(Equal(1))
-		placed, _, ended := told.jobs()
+		prefill(1)
+		Eventually(rec.avoidCount).WithTimeout(5 * time.Second).Should(Equal(1))
+		prefill(2)
+		Eventually(func() int { _, prefilled, _ := rec.jobs(); return prefilled }).Should(Equal(1))
+		placed, _, finished := rec.jobs()
 		Expect(placed).To(Equal(1))
-		Expect(ended).To(Equal(1))
+		Expect(finished).To(Equal(1))
 	})
 
-	// A datagram is lost, or a gateway was not there yet. It is told again by any of the
-	// others until all know it.
-	It("tell that servers ended to all at once, and to some again", func() {
-		all, told, addresses := startPeers(7)
+	// Guards against gateways that miss a termination because a datagram was lost or they
+	// were not running yet: any of the others reannounces it until all know it.
+	It("announce a termination to all gateways, and reannounce it to a few", func() {
+		all, recorders, addresses := startGateways(7)
 		sender := all[6]
 		sender.SetPeers(maps.Clone(addresses))
 		evidence := quarantine.Evidence{
 			Request: 1 << 63, Instance: backend.Instance{ID: "i-9a340f44e5", Incarnation: 1776457240515},
 			SentAt: time.Now().Add(-1100 * time.Millisecond), ObservedAt: time.Now().Add(-time.Second),
 		}
-		heardBy := func() (gateways, pieces int) {
-			for _, h := range told {
-				h.mu.Lock()
-				if len(h.evidence) > 0 {
+		received := func() (gateways, announcements int) {
+			for _, rec := range recorders {
+				rec.mu.Lock()
+				if len(rec.evidence) > 0 {
 					gateways++
-					Expect(h.evidence[0].Request).To(Equal(evidence.Request))
-					Expect(h.evidence[0].Instance).To(Equal(evidence.Instance))
-					Expect(h.evidence[0].ObservedAt).To(BeTemporally("~", evidence.ObservedAt, 500*time.Millisecond))
-					Expect(h.evidence[0].ObservedAt.Sub(h.evidence[0].SentAt)).To(BeNumerically("~", 100*time.Millisecond, 5*time.Millisecond))
+					Expect(rec.evidence[0].Request).To(Equal(evidence.Request))
+					Expect(rec.evidence[0].Instance).To(Equal(evidence.Instance))
+					Expect(rec.evidence[0].ObservedAt).To(BeTemporally("~", evidence.ObservedAt, 500*time.Millisecond))
+					Expect(rec.evidence[0].ObservedAt.Sub(rec.evidence[0].SentAt)).To(BeNumerically("~", 100*time.Millisecond, 5*time.Millisecond))
 				}
-				pieces += len(h.evidence)
-				h.mu.Unlock()
+				announcements += len(rec.evidence)
+				rec.mu.Unlock()
 			}
-			return gateways, pieces
+			return gateways, announcements
 		}
 		sender.AnnounceTermination(evidence)
-		Eventually(func() int { gateways, _ := heardBy(); return gateways }).Should(Equal(6))
+		Eventually(func() int { gateways, _ := received(); return gateways }).Should(Equal(6))
 		sender.ReannounceTermination(evidence)
-		Eventually(func() int { _, pieces := heardBy(); return pieces }).Should(Equal(9))
+		Eventually(func() int { _, announcements := received(); return announcements }).Should(Equal(9))
 	})
 
-	// Guards against limits that reach others with another age, and against gateways that
-	// do not agree on who may send.
-	It("tell the limits of servers with their ages, and rank each other alike", func() {
-		all, told, addresses := startPeers(7)
+	// Guards against limits that others receive with a wrong age, and against gateways that
+	// disagree on the senders.
+	It("announce the limits of servers with their ages, and agree on their ranks", func() {
+		all, recorders, addresses := startGateways(7)
 		Expect(all[0].RankFor("s", 0)).To(Equal(ratelimit.Rank{}))
 		positions := map[int]bool{}
 		for _, p := range all {
@@ -283,18 +281,18 @@
 			Server: backend.Instance{ID: "s", Incarnation: 1776457240515}, Limited: true, PerSecond: 4.2, Unauthenticated: true,
 			RequestedAt: boottime.Now() - 1100*time.Millisecond, ReceivedAt: boottime.Now() - time.Second,
 		}
-		bad := n
-		bad.PerSecond = math.NaN()
-		all[6].AnnounceServerLimit(bad)
+		invalid := n
+		invalid.PerSecond = math.NaN()
+		all[6].AnnounceServerLimit(invalid)
 		all[6].AnnounceServerLimit(n)
-		for name, h := range told {
+		for name, rec := range recorders {
 			if name == "f-6" {
 				continue
 			}
 			got := func() []ratelimit.Notice {
-				h.mu.Lock()
-				defer h.mu.Unlock()
-				return h.limits
+				rec.mu.Lock()
+				defer rec.mu.Unlock()
+				return rec.limits
 			}
 			Eventually(got).Should(HaveLen(1))
 			notice := got()[0]
@@ -305,16 +303,16 @@
 		}
 	})
 
-	// Three hundred gateways tell each other of every request: each takes in
-	// megabytes a second, and small VMs have no processor left for callers.
-	It("tell placements to their group only, and refusals to all", func() {
+	// Guards against gossip that uses up the CPU of small VMs: if three hundred gateways
+	// announce every request to all others, each receives megabytes a second.
+	It("announce placements to their group only, and engines to avoid to all", func() {
 		names := []string{"f-1", "f-2", "f-3", "f-4", "f-5", "f-6"}
-		told := map[string]*heard{}
+		recorders := map[string]*recorder{}
 		addresses := map[string]netip.AddrPort{}
 		gateways := map[string]*peers.Peers{}
 		for _, name := range names {
-			told[name] = newHeard()
-			p, err := peers.New(peers.Config{Name: name, StartID: rand.Uint64(), Address: "127.0.0.1:0"}, told[name])
+			recorders[name] = newRecorder()
+			p, err := peers.New(peers.Config{Name: name, StartID: rand.Uint64(), Address: "127.0.0.1:0"}, recorders[name])
 			Expect(err).NotTo(HaveOccurred())
 			ctx, stop := context.WithCancel(context.Background())
 			DeferCleanup(stop)
@@ -329,11 +327,11 @@
 		sender.AnnounceAvoid("llm", "i-1", time.Second)
 		members := 0
 		for _, name := range names[1:] {
-			Eventually(told[name].avoided).Should(Equal(1))
-			placed, _, _ := told[name].jobs()
+			Eventually(recorders[name].avoidCount).Should(Equal(1))
+			placed, _, _ := recorders[name].jobs()
 			if place.GroupOf(name, 2) == own {
 				members++
-				Eventually(func() int { placed, _, _ := told[name].jobs(); return placed }).Should(Equal(1))
+				Eventually(func() int { placed, _, _ := recorders[name].jobs(); return placed }).Should(Equal(1))
 				continue
 			}
 			Expect(placed).To(BeZero())
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,4 +1,4 @@
-// Package ring joins two duties by a bounded queue with a stated overflow rule.
+// Package ring provides a bounded queue between duties with an explicit overflow policy.
 package ring
 
 import (
@@ -7,26 +7,25 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Overflow says what a full Ring does with a new item.
+// Overflow is what a full Ring does with a new item.
 type Overflow uint8
 
 const (
-	// Reject refuses the new item; the sender answers it with a verdict.
+	// Reject rejects the new item. The sender responds to it with a verdict.
 	Reject Overflow = iota
 	// DropOldest discards the oldest item. It suits reports, where the newest
-	// one replaces all before it.
+	// one supersedes all earlier ones.
 	DropOldest
 )
 
-// Ring is a bounded first-in first-out queue. Any goroutine may put; one
-// goroutine takes.
+// Ring is a bounded FIFO queue with any number of producers and one consumer.
 type Ring[T any] struct {
 	items    chan T
 	overflow Overflow
 	dropped  metrics.Counter
 }
 
-// New returns a Ring for size items, whose overflow is counted as
+// New returns a Ring of size items. Items that overflow are counted in the metric
 // ring.<name>.dropped.
 func New[T any](name string, size int, overflow Overflow) *Ring[T] {
 	return &Ring[T]{
@@ -36,8 +35,8 @@
 	}
 }
 
-// Put adds item and reports whether it was taken. It never blocks: a full
-// queue that blocked its sender would carry one slow duty to all before it.
+// Put adds item and reports whether it was accepted. It never blocks: if a full
+// queue blocked its sender, one slow duty would stall all duties upstream of it.
 func (r *Ring[T]) Put(item T) bool {
 	for {
 		select {
@@ -56,8 +55,8 @@
 	}
 }
 
-// PutWait adds item, waiting for room until ctx ends. Only answers that must
-// not be lost use it.
+// PutWait adds item, waiting for capacity until ctx is done. Use it only for
+// responses that must not be lost.
 func (r *Ring[T]) PutWait(ctx context.Context, item T) error {
 	select {
 	case r.items <- item:
@@ -67,8 +66,8 @@
 	}
 }
 
-// C returns the channel to take from.
+// C returns the channel to receive items from.
 func (r *Ring[T]) C() <-chan T { return r.items }
 
-// Len returns how many items wait.
+// Len returns the number of queued items.
 func (r *Ring[T]) Len() int { return len(r.items) }
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -15,9 +15,9 @@
 }
 
 var _ = Describe("Ring", func() {
-	// A duty is stuck while its senders go on. A queue without a bound grows
-	// until the process is killed and takes every request with it.
-	It("refuses what it has no room for", func() {
+	// Guards against an unbounded queue: when a duty is stuck while its senders
+	// continue, the queue grows until the process is killed with all its requests.
+	It("rejects an item when it is full", func() {
 		r := ring.New[int]("test.reject", 2, ring.Reject)
 		Expect(r.Put(1)).To(BeTrue())
 		Expect(r.Put(2)).To(BeTrue())
@@ -25,7 +25,7 @@
 		Expect(<-r.C()).To(Equal(1))
 	})
 
-	It("drops the oldest report for a newer one", func() {
+	It("drops the oldest item for a newer one", func() {
 		r := ring.New[int]("test.drop", 2, ring.DropOldest)
 		for i := range 3 {
 			Expect(r.Put(i)).To(BeTrue())
