--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -1,9 +1,9 @@
-// Package claims lets a call with an idempotency key run at most once.
+// Package claims ensures that a call with an idempotency key runs at most once.
 //
-// Keys hash to slots, and each slot has one owner at a time, the sidecar of one
-// backend server. The owner records a claim for the key in the platform's store
-// before the call runs, and its result afterwards. Slot is the state machine of
-// one slot; Duty runs the slots of a sidecar against the store.
+// Keys are hashed to slots, and each slot has one owner at a time: the sidecar
+// of one backend server. The owner records a claim for the key in the platform's
+// store before the call runs, and the result afterwards. Slot is the state
+// machine of one slot; Duty runs the slots of a sidecar against the store.
 package claims
 
 import (
@@ -14,51 +14,53 @@
 	"pistachioroad.dev/pistachioroad/internal/verdict"
 )
 
-// MaxKey is the longest idempotency key in bytes.
-const MaxKey = 255
+// MaxKeyBytes is the maximum length of an idempotency key.
+const MaxKeyBytes = 255
 
-// SlotOf returns the slot of a key in a service with the number of slots given.
+// SlotOf returns the slot of key in a service with the given number of slots.
 func SlotOf(key string, slots int) int {
 	return SlotOfHash(HashKey(key), slots)
 }
 
-// HashKey returns the hash of a key that chooses its slot.
+// HashKey returns the hash that determines the slot of key.
 func HashKey(key string) uint64 { return xxhash.Sum64String(key) }
 
-// SlotOfHash returns the slot of a key by its hash. Entries and sidecars go by
-// this one rule: another would send a key to where its claim is not known.
+// SlotOfHash returns the slot of a key by its hash. Entries and sidecars must
+// agree on it: otherwise a key would be routed to a sidecar that does not hold
+// its claim.
 func SlotOfHash(hash uint64, slots int) int { return int(hash % uint64(slots)) }
 
-// Request asks to run a call under an idempotency key.
+// Request is a request to run a call under an idempotency key.
 type Request struct {
 	Service string
 	Key     string
-	// BodyDigest tells two calls under one key apart.
+	// BodyDigest detects that a key is reused with a different request body.
 	BodyDigest uint64
-	// RequestID is that of the one request that would run the call.
+	// RequestID identifies the request that will run the call if it is granted.
 	RequestID string
 }
 
-// Header is a header of a kept result.
+// Header is a response header of a recorded result.
 type Header struct {
 	Name  string `json:"n"`
 	Value string `json:"v"`
 }
 
-// Result is the answer of a call that ran to its end.
+// Result is the response of a call that completed.
 type Result struct {
 	Status  int      `json:"status"`
 	Headers []Header `json:"headers,omitempty"`
 	Body    []byte   `json:"body,omitempty"`
-	// BodyDigest (xxhash) and BodyBytes are those of the whole body.
+	// BodyDigest (xxhash) and BodyBytes describe the complete body, also when it
+	// was dropped.
 	BodyDigest uint64 `json:"body_digest,omitempty"`
 	BodyBytes  int    `json:"body_bytes,omitempty"`
-	// BodyDropped says that headers and body were too large to keep. The call
-	// ran all the same.
+	// BodyDropped is set if the headers and the body were too large to store.
+	// The call did run.
 	BodyDropped bool `json:"body_dropped,omitempty"`
 }
 
-// NewResult returns the Result of an answer.
+// NewResult returns the Result of a response.
 func NewResult(status int, headers []Header, body []byte) Result {
 	return Result{
 		Status:     status,
@@ -69,7 +71,8 @@
 	}
 }
 
-// withoutBody returns the Result that says only that the call ran.
+// withoutBody returns r without its headers and body, which still records that
+// the call ran.
 func (r Result) withoutBody() Result {
 	r.Headers = nil
 	r.Body = nil
@@ -77,37 +80,38 @@
 	return r
 }
 
-// bounded returns r, without its body if the whole has more than limit bytes.
-func (r Result) bounded(limit int) Result {
-	if resultBytes(&r) > limit {
+// withoutBodyOver returns r, without headers and body if its encoded size may
+// exceed limit bytes.
+func (r Result) withoutBodyOver(limit int) Result {
+	if resultSizeBound(&r) > limit {
 		return r.withoutBody()
 	}
 	return r
 }
 
-// Kind is what an Answer says.
+// Kind is the kind of an Answer.
 type Kind uint8
 
 // The kinds of Answer.
 const (
-	// Unavailable: the call was not claimed and does not run; ask again later.
+	// Unavailable: the call was not claimed and does not run; retry later.
 	Unavailable Kind = iota
 	// NotOwner: another sidecar owns the slot; the call does not run here.
 	NotOwner
-	// Granted: the claim is recorded. Run the call, then report Finished,
-	// NotStarted or Lost.
+	// Granted: the claim is recorded. The requester runs the call and then
+	// reports Finished, NotStarted or ResultLost.
 	Granted
-	// Replay: the call ran before; Result is its answer.
+	// Replay: the call has already run; Result is its response.
 	Replay
-	// InProgress: a call under this key runs now.
+	// InProgress: a call with this key is still running.
 	InProgress
-	// OtherBody: the key was used for another call.
-	OtherBody
-	// MayHaveRun: a call under this key was claimed and its result is lost.
+	// BodyMismatch: the key was used before with a different request body.
+	BodyMismatch
+	// MayHaveRun: a call with this key was claimed and its result is lost.
 	MayHaveRun
 )
 
-// String returns the kind for logs.
+// String returns the kind as written to logs.
 func (k Kind) String() string {
 	names := [...]string{
 		"unavailable", "not owner", "granted", "replay", "in progress", "other body", "may have run",
@@ -118,29 +122,29 @@
 	return "unknown"
 }
 
-// Answer is what became of a Request.
+// Answer is the response to a Request.
 type Answer struct {
 	Kind   Kind
 	Result Result
-	// Reason is for people.
+	// Reason is a human-readable explanation of Unavailable.
 	Reason string
-	// RetryAfter is when asking again makes sense, or zero.
+	// RetryAfter is the suggested delay before a retry, or zero.
 	RetryAfter time.Duration
 }
 
-// Err returns the error that the caller of the request gets, or nil for
-// Granted and Replay.
+// Err returns the error to send to the caller, or nil for Granted and Replay.
 func (a Answer) Err() *verdict.Error {
 	switch a.Kind {
 	case Granted, Replay:
 		return nil
 	case InProgress:
-		// The action under the key may be done: only this request did nothing.
+		// This request did nothing, but the call already running under the key
+		// may take effect.
 		return &verdict.Error{
 			Verdict: verdict.MayHaveRun, Code: verdict.CodeKeyInUse,
 			Message: "a call with this key is running", RetryAfter: a.RetryAfter,
 		}
-	case OtherBody:
+	case BodyMismatch:
 		return verdict.New(verdict.NotRun, verdict.CodeKeyReused, "the key was used for another call")
 	case MayHaveRun:
 		return verdict.New(verdict.MayHaveRun, verdict.CodeUnknownResult,
--- a/internal/claims/commit.go
+++ b/internal/claims/commit.go
@@ -6,75 +6,75 @@
 	"pistachioroad.dev/pistachioroad/internal/invariant"
 )
 
-// shrinkTo is the part of the largest size, in quarters, to which a full record
-// is shrunk, so that not every commit has to.
+// A full record is shrunk to shrinkToQuarters/quarters of the maximum size, so
+// that the commits after it do not all have to shrink it again.
 const (
-	shrinkTo = 3
-	quarters = 4
+	shrinkToQuarters = 3
+	quarters         = 4
 )
 
-// beginCommit writes one record with all results that are owed and all claims
-// that wait.
+// beginCommit starts a write of the record with all unrecorded results and all
+// queued claims.
 func (s *Slot) beginCommit(now time.Time) {
 	next := s.record.clone()
-	next.Clock = s.clock(now)
+	next.Clock = s.recordClock(now)
 	next.expire(s.config.Retention)
-	s.settling = s.unsettled
-	s.unsettled = nil
-	s.settleKeys(next)
+	s.recording = s.unrecorded
+	s.unrecorded = nil
+	s.applyUnrecorded(next)
 	claimed := s.addClaims(next)
-	if claimed == 0 && len(s.settling) == 0 {
+	if claimed == 0 && len(s.recording) == 0 {
 		return
 	}
 	s.startWrite(now, commit, next)
 }
 
-// settleKeys puts the results that are owed into next, and removes the claims
-// that did not run.
-func (s *Slot) settleKeys(next Record) {
-	for _, name := range s.settling {
+// applyUnrecorded adds the unrecorded results to next and removes the claims
+// whose calls did not run.
+func (s *Slot) applyUnrecorded(next Record) {
+	for _, name := range s.recording {
 		k := s.keys[name]
 		if k == nil {
 			continue
 		}
 		switch k.state {
-		case keyOwed:
+		case keyFinished:
 			c := next.Claims[name]
 			result := k.result
 			c.Result = &result
 			c.Done = next.Clock
 			c.RequestID = ""
 			next.set(name, c)
-		case keyDropped, keyQueued:
+		case keyCancelled, keyQueued:
 			delete(next.Claims, name)
 		}
 	}
 }
 
-// addClaims puts the claims that wait into next, as far as there is room for
-// them and their results, and returns how many.
+// addClaims adds the queued claims to next, as long as there is room for them
+// and their results, and returns how many it added. It rejects the others.
 func (s *Slot) addClaims(next Record) int {
 	claimed := 0
-	used := next.bytes() + s.reservedBytes()
+	used := next.sizeBound() + s.reservedBytes()
 	for _, name := range s.queue {
 		k := s.keys[name]
 		c := Claim{BodyDigest: k.request.BodyDigest, Epoch: next.Epoch, RequestID: k.request.RequestID}
-		need := claimBytes(name, c) + s.config.ResultBytes
+		need := claimSizeBound(name, c) + s.config.ResultBytes
 		if used+need > s.config.MaxBytes {
-			next.shrink(s.config.MaxBytes * shrinkTo / quarters)
-			used = next.bytes() + s.reservedBytes()
+			next.shrink(s.config.MaxBytes * shrinkToQuarters / quarters)
+			used = next.sizeBound() + s.reservedBytes()
 		}
 		if used+need > s.config.MaxBytes {
-			s.metrics.full.Inc(1)
+			s.metrics.rejectedFull.Inc(1)
 			s.reply(k.token, Answer{Kind: Unavailable, Reason: "too many keys are kept", RetryAfter: retryFull})
-			s.forgetQueued(name, k)
+			s.cancelQueued(name, k)
 			continue
 		}
 		used += need
 		claimed++
 		_, before := next.Claims[name]
 		invariant.Check(!before, "a key runs at most once",
-			"%s: key %q is claimed twice, for %s now", s.name(), name, k.request.RequestID)
+			"%s: key %q claimed a second time, now for request %s", s.name(), name, k.request.RequestID)
 		next.set(name, c)
 		k.state = keyCommitting
 	}
@@ -82,46 +82,47 @@
 	return claimed
 }
 
-// reservedBytes is the room for the results of calls that still run.
+// reservedBytes returns the room reserved for the results of running calls.
 func (s *Slot) reservedBytes() int {
 	return s.Running() * s.config.ResultBytes
 }
 
-// committed takes a commit that is in force.
+// committed handles a commit that has taken effect.
 func (s *Slot) committed(now time.Time) {
-	settled := s.settling
-	s.settling = nil
-	for _, name := range settled {
-		s.settledKey(name)
+	recorded := s.recording
+	s.recording = nil
+	for _, name := range recorded {
+		s.keyRecorded(name)
 	}
-	for _, name := range s.in(keyCommitting) {
-		s.claimed(now, name, s.keys[name])
+	for _, name := range s.keysIn(keyCommitting) {
+		s.claimRecorded(now, name, s.keys[name])
 	}
 }
 
-// settledKey forgets a key of which the record now says all.
-func (s *Slot) settledKey(name string) {
+// keyRecorded drops the in-memory state of a key that the record now reflects.
+func (s *Slot) keyRecorded(name string) {
 	k := s.keys[name]
 	if k == nil {
 		return
 	}
 	switch k.state {
-	case keyOwed, keyDropped:
+	case keyFinished, keyCancelled:
 		delete(s.keys, name)
 	case keyQueued:
-		k.replaces = false
+		k.replacesCancelled = false
 	}
 }
 
-// claimed grants a key that is recorded, if somebody still waits for it.
-func (s *Slot) claimed(now time.Time, name string, k *key) {
+// claimRecorded grants the recorded claim of a key if a request still waits for
+// it, and cancels the claim otherwise.
+func (s *Slot) claimRecorded(now time.Time, name string, k *key) {
 	c := s.record.Claims[name]
 	invariant.Check(c.RequestID == k.request.RequestID && c.Epoch == s.record.Epoch && c.Result == nil,
-		"a key runs at most once", "%s: key %q granted to %s, claimed for %s",
+		"a key runs at most once", "%s: key %q granted to request %s, but claimed for request %s",
 		s.name(), name, k.request.RequestID, c.RequestID)
 	if k.token == 0 {
-		k.state = keyDropped
-		s.changed(now, name)
+		k.state = keyCancelled
+		s.markUnrecorded(now, name)
 		return
 	}
 	s.metrics.claims.Inc(1)
--- a/internal/claims/duty.go
+++ b/internal/claims/duty.go
@@ -15,44 +15,46 @@
 )
 
 const (
-	// inboxSize bounds the requests and reports that wait for a Duty.
+	// inboxSize bounds the queued events of a Duty.
 	inboxSize = 4096
-	// maxSlots bounds the slots of a service.
+	// maxSlots bounds the number of slots of a service.
 	maxSlots = 4096
 )
 
-// Config says whose slots a Duty runs.
+// Config configures a Duty.
 type Config struct {
 	Service string
-	// Owner is the backend server, Incarnation this start of its sidecar.
+	// Owner is the backend server; Incarnation identifies this start of its
+	// sidecar.
 	Owner       string
 	Incarnation string
-	// Retention is how long results are kept; zero: DefaultRetention.
+	// Retention is how long results are stored; zero means DefaultRetention.
 	Retention time.Duration
-	// Random spreads retries. Nil: a random seed.
+	// Random adds jitter to retries; nil means a generator with a random seed.
 	Random *rand.Rand
 }
 
-// Duty runs the slots that one sidecar owns. Serve is its only goroutine
-// besides the calls of the store, at most one for each slot.
+// Duty runs the slots that one sidecar owns. All state is handled by the
+// goroutine of Serve; store calls run in goroutines of their own, at most one per
+// slot.
 type Duty struct {
-	config Config
-	store  sharedstate.Store
-	inbox  *ring.Ring[any]
-	tokens atomic.Uint64
-	owned  atomic.Pointer[[]uint32]
-	news   chan struct{}
-	ended  chan struct{}
-	served atomic.Bool
-
-	// What follows belongs to the goroutine of Serve.
-	slots   []*Slot
-	wakes   []time.Time
-	waiting map[uint64]chan Answer
-	plan    planEvent
-	// released is closed when all slots are given up after a Release.
-	released []chan struct{}
-	draining bool
+	config           Config
+	store            sharedstate.Store
+	inbox            *ring.Ring[any]
+	tokens           atomic.Uint64
+	owned            atomic.Pointer[[]uint32]
+	ownershipChanged chan struct{}
+	stopped          chan struct{}
+	served           atomic.Bool
+
+	// The fields below are used by the goroutine of Serve only.
+	slots     []*Slot
+	wakeTimes []time.Time
+	replies   map[uint64]chan Answer
+	plan      planEvent
+	// releaseWaiters are closed once all slots are released after a Release.
+	releaseWaiters []chan struct{}
+	draining       bool
 }
 
 type (
@@ -60,11 +62,11 @@
 		version uint64
 		owners  []string
 	}
-	askEvent struct {
-		asked ClaimRequested
-		reply chan Answer
+	claimEvent struct {
+		request ClaimRequested
+		reply   chan Answer
 	}
-	reportEvent struct {
+	keyEvent struct {
 		key string
 		ev  Event
 	}
@@ -72,101 +74,102 @@
 		slot int
 		ev   Event
 	}
-	retainEvent  struct{ retention time.Duration }
-	releaseEvent struct{ done chan struct{} }
+	retentionEvent struct{ retention time.Duration }
+	releaseEvent   struct{ done chan struct{} }
 )
 
-// NewDuty returns a Duty that owns nothing until SetPlan.
+// NewDuty returns a Duty that owns no slot until SetPlan.
 func NewDuty(config Config, store sharedstate.Store) *Duty {
 	if config.Random == nil {
 		config.Random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
 	d := &Duty{
-		config:  config,
-		store:   store,
-		inbox:   ring.New[any]("claims", inboxSize, ring.Reject),
-		news:    make(chan struct{}, 1),
-		ended:   make(chan struct{}),
-		waiting: map[uint64]chan Answer{},
+		config:           config,
+		store:            store,
+		inbox:            ring.New[any]("claims", inboxSize, ring.Reject),
+		ownershipChanged: make(chan struct{}, 1),
+		stopped:          make(chan struct{}),
+		replies:          map[uint64]chan Answer{},
 	}
 	d.owned.Store(&[]uint32{})
 	return d
 }
 
-// SetPlan gives the owners of all slots as the plan of that version has them.
+// SetPlan sets the owners of all slots according to the plan of that version.
 // The number of slots never changes.
 func (d *Duty) SetPlan(version uint64, owners []string) {
-	d.report(planEvent{version: version, owners: slices.Clone(owners)})
+	d.enqueue(planEvent{version: version, owners: slices.Clone(owners)})
 }
 
-// SetRetention changes how long results are kept.
+// SetRetention changes how long results are stored.
 func (d *Duty) SetRetention(retention time.Duration) {
-	d.report(retainEvent{retention: retention})
+	d.enqueue(retentionEvent{retention: retention})
 }
 
-// Owned returns the slots owned now.
+// Owned returns the slots that are currently owned.
 func (d *Duty) Owned() []uint32 { return *d.owned.Load() }
 
-// Changed receives after Owned has changed.
-func (d *Duty) OwnershipChanged() <-chan struct{} { return d.news }
+// OwnershipChanged returns a channel that receives a value after Owned has changed.
+func (d *Duty) OwnershipChanged() <-chan struct{} { return d.ownershipChanged }
 
-// Claim asks to run the call of r. It returns when the claim is recorded or
-// refused, or when ctx ends; then the answer is Unavailable and the call must
-// not run. After Granted the caller reports exactly one of Finished,
-// NotStarted and Lost, with the same Request.
+// Claim requests the right to run the call of r. It returns when the claim is
+// recorded or rejected, or when ctx ends; in the latter case the answer is
+// Unavailable and the call must not run. After Granted, exactly one of Finished,
+// NotStarted and ResultLost must be called with the same Request.
 func (d *Duty) Claim(ctx context.Context, r Request) Answer {
 	if r.Service != d.config.Service {
 		return notOwner
 	}
 	token := d.tokens.Add(1)
 	reply := make(chan Answer, 1)
-	if !d.inbox.Put(askEvent{asked: ClaimRequested{Token: token, Request: r}, reply: reply}) {
+	if !d.inbox.Put(claimEvent{request: ClaimRequested{Token: token, Request: r}, reply: reply}) {
 		return Answer{Kind: Unavailable, Reason: "too many claims wait", RetryAfter: retryStore}
 	}
 	select {
 	case a := <-reply:
 		return a
 	case <-ctx.Done():
-	case <-d.ended:
+	case <-d.stopped:
 	}
-	d.report(reportEvent{key: r.Key, ev: Abandoned{Token: token, Key: r.Key}})
+	d.enqueue(keyEvent{key: r.Key, ev: Abandoned{Token: token, Key: r.Key}})
 	return Answer{Kind: Unavailable, Reason: "the claim took too long", RetryAfter: retryStore}
 }
 
-// Finished reports the answer of a granted call.
+// Finished reports the result of a granted call.
 func (d *Duty) Finished(r Request, result Result) {
-	d.report(reportEvent{key: r.Key, ev: Finished{Request: r, Result: result}})
+	d.enqueue(keyEvent{key: r.Key, ev: Finished{Request: r, Result: result}})
 }
 
 // NotStarted reports that a granted call did not run and never will, so that
-// the key can be used again.
+// its key can be claimed again.
 func (d *Duty) NotStarted(r Request) {
-	d.report(reportEvent{key: r.Key, ev: NotStarted{Request: r}})
+	d.enqueue(keyEvent{key: r.Key, ev: NotStarted{Request: r}})
 }
 
-// Lost reports that a granted call may have run and has no answer.
+// ResultLost reports that a granted call may have run and that its result is unknown.
 func (d *Duty) ResultLost(r Request) {
-	d.report(reportEvent{key: r.Key, ev: ResultLost{Request: r}})
+	d.enqueue(keyEvent{key: r.Key, ev: ResultLost{Request: r}})
 }
 
-// Release gives all slots up: no new claims are granted, and each slot is
-// released once its calls are finished and recorded. It returns when all are,
-// or when ctx ends.
+// Release releases all slots: no new claims are granted, and each slot is
+// released once its calls are finished and recorded. It returns when all slots
+// are released or when ctx ends.
 func (d *Duty) Release(ctx context.Context) error {
 	done := make(chan struct{})
-	d.report(releaseEvent{done: done})
+	d.enqueue(releaseEvent{done: done})
 	select {
 	case <-done:
 		return nil
-	case <-d.ended:
-		return eris.New("claims duty has ended")
+	case <-d.stopped:
+		return eris.New("claims duty has stopped")
 	case <-ctx.Done():
-		return eris.Wrap(ctx.Err(), "release key slots")
+		return eris.Wrap(ctx.Err(), "release of key slots not completed")
 	}
 }
 
-// report hands over what must not be lost, and waits for room.
-func (d *Duty) report(ev any) {
+// enqueue adds an event that must not be dropped to the inbox. It blocks while
+// the inbox is full, unless the Duty has stopped.
+func (d *Duty) enqueue(ev any) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if d.inbox.Put(ev) {
@@ -176,7 +179,7 @@
 	defer close(stop)
 	go func() {
 		select {
-		case <-d.ended:
+		case <-d.stopped:
 			cancel()
 		case <-stop:
 		}
@@ -184,75 +187,75 @@
 	_ = d.inbox.PutWait(ctx, ev)
 }
 
-// Serve runs the slots until ctx ends. It cannot be started again after a
-// panic, since what it knew of running calls may be wrong: the whole process
-// ends, and the next one has another incarnation.
+// Serve runs the slots until ctx ends. It refuses to restart after a panic, as
+// its state of the running calls may be wrong: the whole process terminates, and
+// the next one has a new incarnation.
 func (d *Duty) Serve(ctx context.Context) error {
 	if d.served.Swap(true) {
 		return suture.ErrTerminateSupervisorTree
 	}
-	defer close(d.ended)
+	defer close(d.stopped)
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
 		timer.Reset(d.untilWake(time.Now()))
 		select {
 		case ev := <-d.inbox.C():
-			d.take(ctx, ev)
+			d.handle(ctx, ev)
 		case <-timer.C:
-			d.wake(ctx)
+			d.tickDueSlots(ctx)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-func (d *Duty) take(ctx context.Context, ev any) {
+func (d *Duty) handle(ctx context.Context, ev any) {
 	switch ev := ev.(type) {
 	case planEvent:
-		d.planned(ctx, ev)
-	case askEvent:
-		d.asked(ctx, ev)
-	case reportEvent:
+		d.planChanged(ctx, ev)
+	case claimEvent:
+		d.claimRequested(ctx, ev)
+	case keyEvent:
 		if n, ok := d.slotOf(ev.key); ok {
-			d.step(ctx, n, ev.ev)
+			d.stepSlot(ctx, n, ev.ev)
 		}
 	case storeEvent:
-		d.step(ctx, ev.slot, ev.ev)
-	case retainEvent:
+		d.stepSlot(ctx, ev.slot, ev.ev)
+	case retentionEvent:
 		d.config.Retention = ev.retention
-		d.stepAll(ctx, Retain{Retention: ev.retention})
+		d.stepAllSlots(ctx, RetentionChanged{Retention: ev.retention})
 	case statusEvent:
 		ev.reply <- d.status()
 	case releaseEvent:
 		d.draining = true
-		d.released = append(d.released, ev.done)
-		d.stepAll(ctx, Drain{})
-		d.checkReleased()
+		d.releaseWaiters = append(d.releaseWaiters, ev.done)
+		d.stepAllSlots(ctx, Drain{})
+		d.notifyIfReleased()
 	}
 }
 
-func (d *Duty) planned(ctx context.Context, p planEvent) {
+func (d *Duty) planChanged(ctx context.Context, p planEvent) {
 	if p.version <= d.plan.version || len(p.owners) == 0 || len(p.owners) > maxSlots {
 		return
 	}
 	if len(d.slots) == 0 {
-		d.addSlots(len(p.owners))
+		d.createSlots(len(p.owners))
 	}
 	if len(p.owners) != len(d.slots) {
 		return
 	}
 	d.plan = p
 	for n, owner := range p.owners {
-		d.step(ctx, n, Plan{Version: p.version, Owned: owner == d.config.Owner})
+		d.stepSlot(ctx, n, Plan{Version: p.version, Owned: owner == d.config.Owner})
 		if d.draining {
-			d.step(ctx, n, Drain{})
+			d.stepSlot(ctx, n, Drain{})
 		}
 	}
 }
 
-func (d *Duty) addSlots(count int) {
-	d.wakes = make([]time.Time, count)
+func (d *Duty) createSlots(count int) {
+	d.wakeTimes = make([]time.Time, count)
 	for n := range count {
 		d.slots = append(d.slots, NewSlot(SlotConfig{
 			Service:     d.config.Service,
@@ -271,53 +274,53 @@
 	return SlotOf(key, len(d.slots)), true
 }
 
-func (d *Duty) asked(ctx context.Context, ev askEvent) {
-	n, ok := d.slotOf(ev.asked.Request.Key)
+func (d *Duty) claimRequested(ctx context.Context, ev claimEvent) {
+	n, ok := d.slotOf(ev.request.Request.Key)
 	if !ok {
 		ev.reply <- notOwner
 		return
 	}
-	d.waiting[ev.asked.Token] = ev.reply
-	d.step(ctx, n, ev.asked)
+	d.replies[ev.request.Token] = ev.reply
+	d.stepSlot(ctx, n, ev.request)
 }
 
-func (d *Duty) stepAll(ctx context.Context, ev Event) {
+func (d *Duty) stepAllSlots(ctx context.Context, ev Event) {
 	for n := range d.slots {
-		d.step(ctx, n, ev)
+		d.stepSlot(ctx, n, ev)
 	}
 }
 
-func (d *Duty) step(ctx context.Context, n int, ev Event) {
+func (d *Duty) stepSlot(ctx context.Context, n int, ev Event) {
 	if abandoned, ok := ev.(Abandoned); ok {
-		delete(d.waiting, abandoned.Token)
+		delete(d.replies, abandoned.Token)
 	}
-	d.wakes[n] = time.Time{}
+	d.wakeTimes[n] = time.Time{}
 	for _, e := range d.slots[n].Step(time.Now(), ev) {
-		d.do(ctx, n, e)
+		d.perform(ctx, n, e)
 	}
 	if d.draining {
-		d.checkReleased()
+		d.notifyIfReleased()
 	}
 }
 
-func (d *Duty) do(ctx context.Context, n int, e Effect) {
+func (d *Duty) perform(ctx context.Context, n int, e Effect) {
 	switch e := e.(type) {
 	case StoreCall:
-		go d.call(ctx, n, e)
+		go d.callStore(ctx, n, e)
 	case Reply:
-		if reply, ok := d.waiting[e.Token]; ok {
-			delete(d.waiting, e.Token)
+		if reply, ok := d.replies[e.Token]; ok {
+			delete(d.replies, e.Token)
 			reply <- e.Answer
 		}
 	case Wake:
-		d.wakes[n] = e.At
+		d.wakeTimes[n] = e.At
 	case Ownership:
-		d.publish()
+		d.publishOwned()
 	}
 }
 
-// call makes one call of the store and reports how it ended.
-func (d *Duty) call(ctx context.Context, n int, c StoreCall) {
+// callStore makes one store call and enqueues its result.
+func (d *Duty) callStore(ctx context.Context, n int, c StoreCall) {
 	var ev Event
 	if c.Call == sharedstate.CallPut {
 		version, err := d.store.Put(ctx, c.Name, c.Version, c.Value)
@@ -329,7 +332,7 @@
 	_ = d.inbox.PutWait(ctx, storeEvent{slot: n, ev: ev})
 }
 
-func (d *Duty) publish() {
+func (d *Duty) publishOwned() {
 	owned := []uint32{}
 	for n, s := range d.slots {
 		if s.Owned() {
@@ -338,27 +341,27 @@
 	}
 	d.owned.Store(&owned)
 	select {
-	case d.news <- struct{}{}:
+	case d.ownershipChanged <- struct{}{}:
 	default:
 	}
 }
 
-func (d *Duty) checkReleased() {
+func (d *Duty) notifyIfReleased() {
 	for _, s := range d.slots {
 		if !s.Idle() {
 			return
 		}
 	}
-	for _, done := range d.released {
+	for _, done := range d.releaseWaiters {
 		close(done)
 	}
-	d.released = nil
+	d.releaseWaiters = nil
 }
 
-// untilWake returns the time until the earliest Wake.
+// untilWake returns the time until the earliest requested Tick, at most an hour.
 func (d *Duty) untilWake(now time.Time) time.Duration {
 	earliest := now.Add(time.Hour)
-	for _, at := range d.wakes {
+	for _, at := range d.wakeTimes {
 		if !at.IsZero() && at.Before(earliest) {
 			earliest = at
 		}
@@ -366,11 +369,11 @@
 	return earliest.Sub(now)
 }
 
-func (d *Duty) wake(ctx context.Context) {
+func (d *Duty) tickDueSlots(ctx context.Context) {
 	now := time.Now()
-	for n, at := range d.wakes {
+	for n, at := range d.wakeTimes {
 		if !at.IsZero() && !at.After(now) {
-			d.step(ctx, n, Tick{})
+			d.stepSlot(ctx, n, Tick{})
 		}
 	}
 }
--- a/internal/claims/duty_test.go
+++ b/internal/claims/duty_test.go
@@ -16,39 +16,39 @@
 	"pistachioroad.dev/pistachioroad/internal/sharedstate"
 )
 
-// memoryStore answers after a millisecond, or not until slow is over.
+// memoryStore is an in-memory store whose calls take latency.
 type memoryStore struct {
 	mu      sync.Mutex
 	objects map[string]sharedstate.Object
-	slow    time.Duration
+	latency time.Duration
 }
 
 func newMemoryStore() *memoryStore {
-	return &memoryStore{objects: map[string]sharedstate.Object{}, slow: time.Millisecond}
+	return &memoryStore{objects: map[string]sharedstate.Object{}, latency: time.Millisecond}
 }
 
-func (s *memoryStore) delay(d time.Duration) {
+func (s *memoryStore) setLatency(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slow = d
+	s.latency = d
 }
 
-func (s *memoryStore) wait() {
+func (s *memoryStore) sleep() {
 	s.mu.Lock()
-	d := s.slow
+	d := s.latency
 	s.mu.Unlock()
 	time.Sleep(d)
 }
 
 func (s *memoryStore) Get(_ context.Context, name string) (sharedstate.Object, error) {
-	s.wait()
+	s.sleep()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.objects[name], nil
 }
 
 func (s *memoryStore) Put(_ context.Context, name string, version uint64, value []byte) (uint64, error) {
-	s.wait()
+	s.sleep()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.objects[name].Version != version {
@@ -72,7 +72,7 @@
 	return claims.Request{Service: "holds", Key: key, BodyDigest: 1, RequestID: id}
 }
 
-func inBubble(t *testing.T, test func(ctx context.Context, g Gomega)) {
+func withFakeClock(t *testing.T, test func(ctx context.Context, g Gomega)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -81,7 +81,7 @@
 }
 
 func TestDutyMovesSlotsByRelease(t *testing.T) {
-	inBubble(t, func(ctx context.Context, g Gomega) {
+	withFakeClock(t, func(ctx context.Context, g Gomega) {
 		store := newMemoryStore()
 		a, b := startDuty(ctx, store, "a"), startDuty(ctx, store, "b")
 		a.SetPlan(1, []string{"a", "a", "b"})
@@ -91,7 +91,7 @@
 		g.Expect(b.Owned()).To(Equal([]uint32{2}))
 		g.Expect(a.Status(ctx).Slots).To(HaveLen(2))
 
-		key := keyOf(0, 3)
+		key := keyInSlot(0, 3)
 		g.Expect(a.Claim(ctx, request(key, "r1")).Kind).To(Equal(claims.Granted))
 		a.SetPlan(2, []string{"b", "b", "b"})
 		b.SetPlan(2, []string{"b", "b", "b"})
@@ -107,8 +107,8 @@
 	})
 }
 
-// keyOf returns a key of the slot.
-func keyOf(slot, slots int) string {
+// keyInSlot returns a key that is hashed to the slot.
+func keyInSlot(slot, slots int) string {
 	key := "k"
 	for claims.SlotOf(key, slots) != slot {
 		key += "k"
@@ -116,27 +116,27 @@
 	return key
 }
 
-// The store is slow and the caller's time runs out while its claim is on its
-// way. The caller is told "not run" and asks again: its first request must not
-// start in the meantime, and the second one must not be refused for ever.
+// Guards against a claim that outlives its request: the store is slow and the
+// context ends while the claim is being written. The caller gets "not run" and
+// retries; the first request must not start, and the retry must be granted.
 func TestClaimGivesUpWithItsContext(t *testing.T) {
-	inBubble(t, func(ctx context.Context, g Gomega) {
+	withFakeClock(t, func(ctx context.Context, g Gomega) {
 		store := newMemoryStore()
 		a := startDuty(ctx, store, "a")
 		a.SetPlan(1, []string{"a"})
 		time.Sleep(time.Second)
-		store.delay(2 * time.Second)
+		store.setLatency(2 * time.Second)
 		short, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
 		g.Expect(a.Claim(short, request("k", "r1")).Kind).To(Equal(claims.Unavailable))
-		store.delay(time.Millisecond)
+		store.setLatency(time.Millisecond)
 		time.Sleep(3 * time.Second)
 		g.Expect(a.Claim(ctx, request("k", "r2")).Kind).To(Equal(claims.Granted))
 	})
 }
 
 func TestClaimEndsWithItsDuty(t *testing.T) {
-	inBubble(t, func(ctx context.Context, g Gomega) {
+	withFakeClock(t, func(ctx context.Context, g Gomega) {
 		serving, stop := context.WithCancel(ctx)
 		a := startDuty(serving, newMemoryStore(), "a")
 		stop()
@@ -147,14 +147,14 @@
 }
 
 func TestReleaseWithoutSlotsReturns(t *testing.T) {
-	inBubble(t, func(ctx context.Context, g Gomega) {
+	withFakeClock(t, func(ctx context.Context, g Gomega) {
 		a := startDuty(ctx, newMemoryStore(), "a")
 		g.Expect(a.Release(ctx)).To(Succeed())
 	})
 }
 
-// BenchmarkClaim measures a claim and its result through a Duty, over a store
-// that answers in a millisecond.
+// BenchmarkClaim measures a claim and its result through a Duty, with a store
+// latency of one millisecond.
 func BenchmarkClaim(b *testing.B) {
 	d := startDuty(b.Context(), newMemoryStore(), "a")
 	d.SetPlan(1, slices.Repeat([]string{"a"}, 16))
--- a/internal/claims/event.go
+++ b/internal/claims/event.go
@@ -6,41 +6,43 @@
 	"pistachioroad.dev/pistachioroad/internal/sharedstate"
 )
 
-// Event is something that happened to a Slot.
+// Event is an input of a Slot.
 type Event interface{ event() }
 
 // The events of a Slot.
 type (
-	// Plan says whether the plan of that version gives the slot to this owner.
+	// Plan reports whether the plan of that version assigns the slot to this
+	// owner.
 	Plan struct {
 		Version uint64
 		Owned   bool
 	}
-	// Drain gives the slot up, once what it claimed is finished.
+	// Drain requests the release of the slot once its granted calls are finished.
 	Drain struct{}
-	// Retain changes how long results are kept.
-	Retain struct{ Retention time.Duration }
-	// Asked is a request; its Reply carries the same Token.
+	// RetentionChanged changes how long results are stored.
+	RetentionChanged struct{ Retention time.Duration }
+	// ClaimRequested is a request for a claim; its Reply carries the same Token.
 	ClaimRequested struct {
 		Token   uint64
 		Request Request
 	}
-	// Abandoned says that nobody waits for the Reply any more, and that the
-	// call of a Granted one was not started.
+	// Abandoned reports that the requester no longer waits for the Reply, and
+	// that its call was not started, even if the claim was granted.
 	Abandoned struct {
 		Token uint64
 		Key   string
 	}
-	// Finished is the result of a granted call.
+	// Finished reports the result of a granted call.
 	Finished struct {
 		Request Request
 		Result  Result
 	}
-	// NotStarted says that a granted call did not run and never will.
+	// NotStarted reports that a granted call did not run and never will.
 	NotStarted struct{ Request Request }
-	// Lost says that a granted call may have run and has no result.
+	// ResultLost reports that a granted call may have run and that its result is
+	// unknown.
 	ResultLost struct{ Request Request }
-	// GetDone and PutDone end the Call effect.
+	// GetDone and PutDone report the result of a StoreCall.
 	GetDone struct {
 		Object sharedstate.Object
 		Err    error
@@ -49,43 +51,43 @@
 		Version uint64
 		Err     error
 	}
-	// Tick says that the time of a Wake has come.
+	// Tick is sent at the time that a Wake requested.
 	Tick struct{}
 )
 
-func (Plan) event()           {}
-func (Drain) event()          {}
-func (Retain) event()         {}
-func (ClaimRequested) event() {}
-func (Abandoned) event()      {}
-func (Finished) event()       {}
-func (NotStarted) event()     {}
-func (ResultLost) event()     {}
-func (GetDone) event()        {}
-func (PutDone) event()        {}
-func (Tick) event()           {}
+func (Plan) event()             {}
+func (Drain) event()            {}
+func (RetentionChanged) event() {}
+func (ClaimRequested) event()   {}
+func (Abandoned) event()        {}
+func (Finished) event()         {}
+func (NotStarted) event()       {}
+func (ResultLost) event()       {}
+func (GetDone) event()          {}
+func (PutDone) event()          {}
+func (Tick) event()             {}
 
-// Effect is something that a Slot asks for.
+// Effect is an action that a Slot requests from the Duty that runs it.
 type Effect interface{ effect() }
 
 // The effects of a Slot.
 type (
-	// Call asks for one call of the store. A slot has one at a time.
+	// StoreCall requests one store call. A slot has at most one in flight.
 	StoreCall struct {
 		Call sharedstate.Call
 		Name string
-		// Version and Value are those of a CallPut.
+		// Version and Value are set for a CallPut.
 		Version uint64
 		Value   []byte
 	}
-	// Reply answers the Asked of that Token.
+	// Reply is the response to the ClaimRequested with that Token.
 	Reply struct {
 		Token  uint64
 		Answer Answer
 	}
-	// Wake asks for a Tick at that time. It replaces the Wake before.
+	// Wake requests a Tick at that time. It replaces any earlier Wake.
 	Wake struct{ At time.Time }
-	// Ownership says that the slot was taken or given up.
+	// Ownership reports that the slot was acquired, released or lost.
 	Ownership struct {
 		Owned bool
 		Epoch uint64
--- a/internal/claims/keys.go
+++ b/internal/claims/keys.go
@@ -7,54 +7,56 @@
 	"pistachioroad.dev/pistachioroad/internal/invariant"
 )
 
-// keyState is how far a key has come in this process.
+// keyState is the progress of a key in this process.
 type keyState uint8
 
 const (
-	// keyQueued waits for the next commit, keyCommitting for the one under way.
+	// keyQueued waits for the next commit, keyCommitting for the one in flight.
 	keyQueued keyState = iota
 	keyCommitting
-	// keyRunning is granted, keyOwed has a result that is not recorded yet.
+	// keyRunning was granted; keyFinished has a result that is not recorded yet.
 	keyRunning
-	keyOwed
-	// keyLost may have run; its result is lost.
-	keyLost
-	// keyDropped is recorded but did not run; the next commit removes it.
-	keyDropped
+	keyFinished
+	// keyResultLost may have run; its result is lost.
+	keyResultLost
+	// keyCancelled is recorded but did not run; the next commit removes it from
+	// the record.
+	keyCancelled
 )
 
 type key struct {
 	state   keyState
 	request Request
-	// token is that of the request that waits, 0 if none does.
+	// token identifies the request that waits for a Reply; 0 means none.
 	token  uint64
 	result Result
-	// replaces says that the record holds a claim of this key and epoch that
-	// did not run.
-	replaces bool
+	// replacesCancelled is set if the record holds a claim of this key and epoch
+	// whose call did not run.
+	replacesCancelled bool
 }
 
-// refuseQueued answers the requests that are not part of a write yet.
-func (s *Slot) refuseQueued(a Answer) {
+// rejectQueued replies to the queued requests, which are not part of a write yet.
+func (s *Slot) rejectQueued(a Answer) {
 	for _, name := range s.queue {
 		k := s.keys[name]
 		s.reply(k.token, a)
-		s.forgetQueued(name, k)
+		s.cancelQueued(name, k)
 	}
 	s.queue = nil
 }
 
-// forgetQueued undoes a queued claim that nothing was written of.
-func (s *Slot) forgetQueued(name string, k *key) {
-	if k.replaces {
-		k.state = keyDropped
+// cancelQueued undoes a queued claim that was not written. The key returns to the
+// state that it had before.
+func (s *Slot) cancelQueued(name string, k *key) {
+	if k.replacesCancelled {
+		k.state = keyCancelled
 		k.token = 0
 		return
 	}
 	delete(s.keys, name)
 }
 
-func (s *Slot) asked(now time.Time, ev ClaimRequested) {
+func (s *Slot) claimRequested(now time.Time, ev ClaimRequested) {
 	answer, decided := s.lookUp(now, ev.Request)
 	if decided {
 		s.reply(ev.Token, answer)
@@ -66,14 +68,15 @@
 	}
 	_, replaces := s.keys[ev.Request.Key]
 	s.keys[ev.Request.Key] = &key{
-		state: keyQueued, request: ev.Request, token: ev.Token, replaces: replaces,
+		state: keyQueued, request: ev.Request, token: ev.Token, replacesCancelled: replaces,
 	}
 	s.queue = append(s.queue, ev.Request.Key)
 }
 
-// lookUp answers what needs no new claim.
+// lookUp returns the answer to a request that needs no new claim. It returns
+// false if the request needs one.
 func (s *Slot) lookUp(now time.Time, r Request) (Answer, bool) {
-	if len(r.Key) == 0 || len(r.Key) > MaxKey {
+	if len(r.Key) == 0 || len(r.Key) > MaxKeyBytes {
 		return Answer{Kind: Unavailable, Reason: "the key is empty or too long"}, true
 	}
 	if !s.owned && !s.wanted() {
@@ -82,8 +85,8 @@
 	if !s.owned {
 		return Answer{Kind: Unavailable, Reason: "the key's slot is being taken over", RetryAfter: retryStore}, true
 	}
-	if k, ok := s.keys[r.Key]; ok && k.state != keyDropped {
-		return s.lookUpLive(k, r), true
+	if k, ok := s.keys[r.Key]; ok && k.state != keyCancelled {
+		return s.lookUpInMemory(k, r), true
 	}
 	if c, ok := s.record.Claims[r.Key]; ok && s.keys[r.Key] == nil {
 		return s.lookUpRecorded(c, r), true
@@ -92,24 +95,25 @@
 	case !s.wanted():
 		return notOwner, true
 	case s.storeDown && (s.write != nil || now.Before(s.retryAt)):
-		return down, true
+		return storeUnavailable, true
 	default:
 		return Answer{}, false
 	}
 }
 
-func (s *Slot) lookUpLive(k *key, r Request) Answer {
+func (s *Slot) lookUpInMemory(k *key, r Request) Answer {
 	if k.request.BodyDigest != r.BodyDigest {
-		return Answer{Kind: OtherBody}
+		return Answer{Kind: BodyMismatch}
 	}
 	switch {
-	case k.state == keyOwed:
+	case k.state == keyFinished:
 		return Answer{Kind: Replay, Result: k.result}
-	case k.state == keyLost:
+	case k.state == keyResultLost:
 		return Answer{Kind: MayHaveRun}
 	case k.state == keyCommitting && k.token == 0:
-		// Nobody runs it any more, but whether it is recorded is not known.
-		return down
+		// The requester is gone, so the call will not run, but the outcome of the
+		// write that claims it is unknown.
+		return storeUnavailable
 	default:
 		return Answer{Kind: InProgress, RetryAfter: retryInProgress}
 	}
@@ -118,12 +122,12 @@
 func (s *Slot) lookUpRecorded(c Claim, r Request) Answer {
 	switch {
 	case c.BodyDigest != r.BodyDigest:
-		return Answer{Kind: OtherBody}
+		return Answer{Kind: BodyMismatch}
 	case c.Result != nil:
 		return Answer{Kind: Replay, Result: *c.Result}
 	default:
 		invariant.Check(c.Epoch < s.record.Epoch, "live claims are known",
-			"%s: key %q of epoch %d is not known to its owner", s.name(), r.Key, c.Epoch)
+			"%s: key %q was claimed in the current epoch %d, but the owner has no state for it", s.name(), r.Key, c.Epoch)
 		return Answer{Kind: MayHaveRun}
 	}
 }
@@ -136,7 +140,7 @@
 	switch k.state {
 	case keyQueued:
 		s.queue = without(s.queue, ev.Key)
-		s.forgetQueued(ev.Key, k)
+		s.cancelQueued(ev.Key, k)
 	case keyCommitting:
 		k.token = 0
 	case keyRunning:
@@ -144,8 +148,9 @@
 	}
 }
 
-// granted returns the key of r if its call was granted and has not ended.
-func (s *Slot) granted(r Request) *key {
+// runningKey returns the key of r if its call was granted and has not finished,
+// and nil otherwise.
+func (s *Slot) runningKey(r Request) *key {
 	k := s.keys[r.Key]
 	if k == nil || k.state != keyRunning || k.request.RequestID != r.RequestID {
 		return nil
@@ -154,44 +159,44 @@
 }
 
 func (s *Slot) finished(now time.Time, ev Finished) {
-	k := s.granted(ev.Request)
+	k := s.runningKey(ev.Request)
 	if k == nil {
 		return
 	}
-	k.state = keyOwed
-	k.result = ev.Result.bounded(s.config.ResultBytes)
-	s.changed(now, ev.Request.Key)
+	k.state = keyFinished
+	k.result = ev.Result.withoutBodyOver(s.config.ResultBytes)
+	s.markUnrecorded(now, ev.Request.Key)
 }
 
-// notStarted takes back a claim of this very process, which alone can know
-// that its call did not run.
+// notStarted cancels a claim that was granted in this process. No other process
+// can know that its call did not run.
 func (s *Slot) notStarted(now time.Time, r Request) {
-	k := s.granted(r)
+	k := s.runningKey(r)
 	if k == nil {
 		return
 	}
-	k.state = keyDropped
+	k.state = keyCancelled
 	k.token = 0
-	s.changed(now, r.Key)
+	s.markUnrecorded(now, r.Key)
 }
 
-func (s *Slot) lostResult(r Request) {
-	if k := s.granted(r); k != nil {
-		k.state = keyLost
+func (s *Slot) resultLost(r Request) {
+	if k := s.runningKey(r); k != nil {
+		k.state = keyResultLost
 	}
 }
 
-// changed notes that the record no longer says what is known of a key.
-func (s *Slot) changed(now time.Time, name string) {
-	if len(s.unsettled) == 0 {
-		s.owedSince = now
+// markUnrecorded marks a key whose state is not reflected in the record yet.
+func (s *Slot) markUnrecorded(now time.Time, name string) {
+	if len(s.unrecorded) == 0 {
+		s.unrecordedSince = now
 	}
-	s.unsettled = append(s.unsettled, name)
+	s.unrecorded = append(s.unrecorded, name)
 }
 
-// in returns the keys in one of the states, in order, so that equal seeds give
-// equal runs.
-func (s *Slot) in(states ...keyState) []string {
+// keysIn returns the keys in any of the states, sorted, so that simulations with
+// equal seeds are reproducible.
+func (s *Slot) keysIn(states ...keyState) []string {
 	names := []string{}
 	for name, k := range s.keys {
 		if slices.Contains(states, k.state) {
@@ -203,11 +208,11 @@
 }
 
 func without(names []string, name string) []string {
-	kept := names[:0]
+	remaining := names[:0]
 	for _, n := range names {
 		if n != name {
-			kept = append(kept, n)
+			remaining = append(remaining, n)
 		}
 	}
-	return kept
+	return remaining
 }
--- a/internal/claims/ownership.go
+++ b/internal/claims/ownership.go
@@ -9,9 +9,9 @@
 	"pistachioroad.dev/pistachioroad/internal/sharedstate"
 )
 
-// seen takes the record of a slot that is wanted and not owned.
-func (s *Slot) seen(now time.Time, ev GetDone) {
-	s.retryAt = now.Add(s.pauses.Next(s.random))
+// recordRead handles a read of the record of a slot that is wanted but not owned.
+func (s *Slot) recordRead(now time.Time, ev GetDone) {
+	s.retryAt = now.Add(s.backoff.Next(s.random))
 	if ev.Err != nil || ev.Object.Version < s.version || !s.wanted() {
 		return
 	}
@@ -19,51 +19,53 @@
 	if ev.Object.Version > 0 {
 		parsed, err := ParseRecord(ev.Object.Value)
 		if err != nil {
-			s.corrupt(ev.Object.Version, err)
+			s.reportCorrupt(ev.Object.Version, err)
 			return
 		}
 		found = parsed
 	}
-	s.sawEpoch(found.Epoch)
+	s.observeEpoch(found.Epoch)
 	if ev.Object.Version != s.version {
 		s.version = ev.Object.Version
-		s.seenAt = now
+		s.versionSince = now
 	}
 	s.record = found
-	if s.mayTake(now) {
+	if s.mayAcquire(now) {
 		s.beginAcquire(now)
 	}
 }
 
-// corrupt leaves a record that cannot be read alone: writing over it would
-// forget its claims. The slot stays closed until somebody has mended the object.
-func (s *Slot) corrupt(version uint64, err error) {
+// reportCorrupt reports a record that cannot be parsed, once per version. The
+// record is never overwritten, as that would lose its claims: the slot stays
+// without an owner until an operator has repaired the object.
+func (s *Slot) reportCorrupt(version uint64, err error) {
 	if version == s.corruptVersion {
 		return
 	}
 	s.corruptVersion = version
 	s.metrics.corrupt.Inc(1)
-	log.WithError(err).WithField("object", s.name()).Error("claim record cannot be read")
+	log.WithError(err).WithField("object", s.name()).Error("cannot parse claim record; its slot stays without an owner until the object is repaired")
 }
 
-// mayTake reports whether the slot that was just read can be taken.
-func (s *Slot) mayTake(now time.Time) bool {
+// mayAcquire reports whether the slot whose record was just read can be acquired.
+func (s *Slot) mayAcquire(now time.Time) bool {
 	r := s.record
 	switch {
 	case s.plan.Version < r.PlanVersion:
-		// The owner acts on a later plan. Two sidecars with different plans
-		// would go on taking the slot from each other.
+		// The owner follows a later plan. Two sidecars with different plans
+		// would otherwise take the slot from each other endlessly.
 		return false
 	case s.version == 0 || r.Released:
 		return true
 	case r.Owner == s.config.Owner && !s.hasOwned:
-		// An earlier start of this very sidecar, whose port this one holds. A
-		// process that has owned the slot would meet a later start, on a VM
-		// that replaces its own, and the two would take it from each other.
+		// The record is from an earlier start of this sidecar, which has ended:
+		// this process holds its port. If this process has owned the slot
+		// before, the record may be from a later start on a VM that replaces
+		// this one, and the two would take the slot from each other.
 		return true
 	default:
-		return now.Sub(s.seenAt) >= s.config.TakeoverAfter ||
-			now.Sub(s.wantedAt) >= s.config.TakeoverMax
+		return now.Sub(s.versionSince) >= s.config.TakeoverAfter ||
+			now.Sub(s.wantedSince) >= s.config.TakeoverMax
 	}
 }
 
@@ -71,8 +73,8 @@
 	if s.version != 0 && !s.record.Released {
 		s.metrics.takeovers.Inc(1)
 	}
-	s.clockAt = s.record.Clock
-	s.takenAt = now
+	s.clockAtAcquire = s.record.Clock
+	s.acquiredAt = now
 	next := s.record.clone()
 	next.Epoch++
 	next.Owner = s.config.Owner
@@ -94,25 +96,25 @@
 	s.startWrite(now, release, next)
 }
 
-// startWrite stamps and encodes next; advance sends it.
+// startWrite completes and encodes next; advance sends it.
 func (s *Slot) startWrite(now time.Time, p purpose, next Record) {
 	next.WriteID = s.writeID()
 	next.PlanVersion = max(next.PlanVersion, s.plan.Version)
-	next.Clock = s.clock(now)
+	next.Clock = s.recordClock(now)
 	value, err := next.Encode()
 	if err != nil {
-		log.WithError(err).WithField("object", s.name()).Error("claim record cannot be written")
+		log.WithError(err).WithField("object", s.name()).Error("cannot encode claim record")
 		return
 	}
-	invariant.Check(len(value) <= next.bytes() && len(value) <= sharedstate.MaxValue, "claim records are bounded",
-		"%s has %d bytes, expected %d", s.name(), len(value), next.bytes())
+	invariant.Check(len(value) <= next.sizeBound() && len(value) <= sharedstate.MaxValue, "claim records are bounded",
+		"%s has %d bytes, estimated at most %d", s.name(), len(value), next.sizeBound())
 	s.purpose = p
 	s.pending = next
 	s.write = sharedstate.NewWrite(s.name(), s.version, value, next.WriteID)
 }
 
-// clock returns Record.Clock of now. Time without an owner does not count, so
-// that results are kept for their retention at least.
-func (s *Slot) clock(now time.Time) int64 {
-	return s.clockAt + now.Sub(s.takenAt).Milliseconds()
+// recordClock returns the Record.Clock for now. Time without an owner does not
+// count, so results are stored for at least their retention.
+func (s *Slot) recordClock(now time.Time) int64 {
+	return s.clockAtAcquire + now.Sub(s.acquiredAt).Milliseconds()
 }
--- a/internal/claims/random_test.go
+++ b/internal/claims/random_test.go
@@ -10,18 +10,18 @@
 	"pistachioroad.dev/pistachioroad/internal/invariant"
 )
 
-// The bounds of the randomised run.
+// Parameters of the randomised simulation.
 const (
 	randomSeeds    = 300
 	randomRequests = 500
 	randomKeys     = 90
-	healTime       = 3 * time.Minute
-	// chaosTakeoverAfter is short, so that owners are often taken over while
-	// they are paused with calls under way.
+	recoveryTime   = 3 * time.Minute
+	// chaosTakeoverAfter is short, so that slots are often taken over from owners
+	// that are paused with calls in progress.
 	chaosTakeoverAfter = 500 * time.Millisecond
 )
 
-// chaos plays requests and faults against three sidecars.
+// chaos simulates three sidecars under random requests and faults.
 type chaos struct {
 	*world
 	plan    uint64
@@ -32,21 +32,22 @@
 	kills   int
 }
 
-// Sidecars are killed and paused, the slot moves, replies get lost and updates
-// take effect late, all at once and again. A caller notices when the same hold
-// is placed twice: run panics then, and so does a replay of another result.
+// Guards against a key running twice while sidecars are killed and paused, the
+// slot moves, replies get lost and updates take effect late, in any combination.
+// world.run panics if a key runs twice, world.answered if a replayed result is
+// that of another call.
 func TestEachKeyRunsAtMostOnce(t *testing.T) {
 	invariant.PanicOnBreach()
 	total := &chaos{world: newWorld(0), kinds: map[claims.Kind]int{}}
 	runs := 0
 	for seed := range uint64(randomSeeds) {
-		c := playChaos(t, seed)
+		c := runChaos(t, seed)
 		runs += len(c.runs)
 		total.add(c)
 	}
 	t.Logf("%d seeds: %d keys ran; faults %v, %d moves, %d pauses, %d kills; answers %v; %d checks",
 		randomSeeds, runs, total.faults, total.moves, total.pauses, total.kills, total.kinds, invariant.Checks())
-	total.checkNotVacuous(t)
+	total.checkCoverage(t)
 }
 
 func (c *chaos) add(o *chaos) {
@@ -61,10 +62,10 @@
 	c.kills += o.kills
 }
 
-func (c *chaos) checkNotVacuous(t *testing.T) {
-	for _, f := range []fate{fine, replyLost, late, dropped, outage} {
+func (c *chaos) checkCoverage(t *testing.T) {
+	for _, f := range []fault{noFault, replyLost, lateWrite, droppedWrite, outage} {
 		if c.faults[f] == 0 {
-			t.Errorf("no call met %q", f)
+			t.Errorf("no store call had fault %q", f)
 		}
 	}
 	for k := claims.Unavailable; k <= claims.MayHaveRun; k++ {
@@ -77,7 +78,7 @@
 	}
 }
 
-func playChaos(t *testing.T, seed uint64) *chaos {
+func runChaos(t *testing.T, seed uint64) *chaos {
 	defer func() {
 		if p := recover(); p != nil {
 			t.Fatalf("seed %d: %v", seed, p)
@@ -89,45 +90,45 @@
 		c.restart(o)
 	}
 	c.granted = c.start
-	c.move()
-	c.fate = c.drawFate
+	c.moveSlot()
+	c.nextFault = c.randomFault
 	for range randomRequests {
-		c.fault()
-		c.request()
+		c.injectProcessFault()
+		c.sendRandomRequest()
 		c.advance(time.Duration(c.random.IntN(200)) * time.Millisecond)
 	}
-	c.heal(t, seed)
+	c.checkRecovery(t, seed)
 	for _, a := range c.answers {
 		c.kinds[a.Kind]++
 	}
 	return c
 }
 
-func (c *chaos) drawFate() fate {
+func (c *chaos) randomFault() fault {
 	if c.random.IntN(10) < 6 {
-		return fine
+		return noFault
 	}
-	return []fate{replyLost, late, dropped, outage}[c.random.IntN(4)]
+	return []fault{replyLost, lateWrite, droppedWrite, outage}[c.random.IntN(4)]
 }
 
-func (c *chaos) pick() *owner { return c.owners[c.random.IntN(len(c.owners))] }
+func (c *chaos) randomOwner() *owner { return c.owners[c.random.IntN(len(c.owners))] }
 
-func (c *chaos) move() {
+func (c *chaos) moveSlot() {
 	c.plan++
 	c.moves++
-	c.current = c.pick()
+	c.current = c.randomOwner()
 	for _, o := range c.owners {
-		// News of the plan takes its time, and may be overtaken by later news.
+		// A plan is delivered with a delay, possibly after a later plan.
 		ev := claims.Plan{Version: c.plan, Owned: o == c.current}
 		c.afterAt(o, time.Duration(c.random.IntN(4000))*time.Millisecond, func() { c.step(o, ev) })
 	}
 }
 
-func (c *chaos) fault() {
-	o := c.pick()
+func (c *chaos) injectProcessFault() {
+	o := c.randomOwner()
 	switch c.random.IntN(60) {
 	case 0:
-		c.move()
+		c.moveSlot()
 	case 1:
 		c.kills++
 		c.restart(o)
@@ -148,18 +149,18 @@
 	}
 }
 
-func (c *chaos) request() {
+func (c *chaos) sendRandomRequest() {
 	o := c.current
 	if c.random.IntN(5) == 0 {
-		o = c.pick()
+		o = c.randomOwner()
 	}
 	body := uint64(1)
 	if c.random.IntN(20) == 0 {
 		body = 2
 	}
-	token := c.ask(o, fmt.Sprint("k", c.random.IntN(randomKeys)), body)
-	r := c.asked[token]
-	// A caller who is gone, perhaps just when its claim is granted.
+	token := c.request(o, fmt.Sprint("k", c.random.IntN(randomKeys)), body)
+	r := c.requests[token]
+	// The requester stops waiting, possibly just when its claim is granted.
 	if c.random.IntN(8) == 0 {
 		c.afterAt(o, time.Duration(c.random.IntN(1500))*time.Millisecond, func() {
 			if _, answered := c.answers[token]; !answered {
@@ -169,8 +170,8 @@
 	}
 }
 
-// start begins a granted call after a while, during which the sidecar may be
-// paused or killed, or does not start it at all.
+// start starts a granted call after a delay, in which the sidecar may be paused
+// or killed, or reports that the call was not started.
 func (c *chaos) start(o *owner, token uint64, r claims.Request) {
 	how := c.random.IntN(20)
 	c.afterAt(o, time.Duration(c.random.IntN(50))*time.Millisecond, func() {
@@ -188,34 +189,35 @@
 	})
 }
 
-// heal ends all faults. Afterwards the owner in the plan must serve without
-// anybody's help.
-func (c *chaos) heal(t *testing.T, seed uint64) {
-	c.fate = func() fate { return fine }
+// checkRecovery ends all faults. The planned owner must then grant new keys
+// without intervention.
+func (c *chaos) checkRecovery(t *testing.T, seed uint64) {
+	c.nextFault = func() fault { return noFault }
 	for _, o := range c.owners {
 		c.wakeUp(o)
 	}
-	c.advance(healTime)
-	// An owner that was taken over and given the slot back, and has written
-	// nothing in between, finds out by its first write; the caller asks again.
-	c.ask(c.current, "first", 1)
+	c.advance(recoveryTime)
+	// An owner whose slot was taken over, that was then assigned the slot again
+	// and has written nothing in between, learns of it by a conflict at its first
+	// write. The first request may therefore fail.
+	c.request(c.current, "first", 1)
 	c.advance(5 * time.Second)
-	token := c.ask(c.current, "second", 1)
+	token := c.request(c.current, "second", 1)
 	c.advance(5 * time.Second)
 	if a := c.answers[token]; a.Kind != claims.Granted {
-		t.Fatalf("seed %d: a new key is %q after all faults have ended", seed, a.Kind)
+		t.Fatalf("seed %d: claim of a new key after the end of all faults: got %q, want granted", seed, a.Kind)
 	}
 	for _, o := range c.owners {
 		if n := o.slot.Running(); n > 0 {
-			t.Fatalf("seed %d: %d claims are leaked at %s", seed, n, o.name)
+			t.Fatalf("seed %d: %d claims leaked at %s", seed, n, o.name)
 		}
 	}
 }
 
-// A breach is found by its seed alone, so equal seeds must give equal runs.
+// A failure can be reproduced only if runs with equal seeds are identical.
 func TestEqualSeedsGiveEqualRuns(t *testing.T) {
 	invariant.PanicOnBreach()
-	a, b := playChaos(t, 5), playChaos(t, 5)
+	a, b := runChaos(t, 5), runChaos(t, 5)
 	if !reflect.DeepEqual(a.record(), b.record()) || !reflect.DeepEqual(a.answers, b.answers) {
 		t.Fatal("two runs of seed 5 differ")
 	}
--- a/internal/claims/record_test.go
+++ b/internal/claims/record_test.go
@@ -10,8 +10,8 @@
 	"pistachioroad.dev/pistachioroad/internal/claims"
 )
 
-// FuzzParseRecord looks for a record that is taken although it would not be
-// written, or that makes the reader panic.
+// FuzzParseRecord checks that ParseRecord does not panic or accept an invalid
+// record, and that Encode is equivalent to json.Marshal for accepted records.
 func FuzzParseRecord(f *testing.F) {
 	for _, seed := range []string{
 		``, `{}`, `null`, `{"epoch":1}`,
@@ -32,7 +32,7 @@
 			return
 		}
 		if r.Epoch == 0 || r.Owner == "" || r.WriteID == "" {
-			t.Fatalf("taken: %+v", r)
+			t.Fatalf("invalid record accepted: %+v", r)
 		}
 		encoded, err := r.Encode()
 		if err != nil {
@@ -53,7 +53,7 @@
 	})
 }
 
-// BenchmarkCommit measures what one commit of a record costs the owner.
+// BenchmarkCommit measures the encoding of a record for a commit.
 func BenchmarkCommit(b *testing.B) {
 	for _, keys := range []int{100, 1000, 2000} {
 		b.Run(strconv.Itoa(keys), func(b *testing.B) {
@@ -65,7 +65,8 @@
 					Done: 1_000_000, Result: &result,
 				}
 			}
-			// An owner has read its record, or has written it before.
+			// The claims of an owner's record are already encoded, by an earlier
+			// read or write.
 			data, err := r.Encode()
 			if err != nil {
 				b.Fatal(err)
--- a/internal/claims/slot.go
+++ b/internal/claims/slot.go
@@ -11,33 +11,36 @@
 	"pistachioroad.dev/pistachioroad/internal/sharedstate"
 )
 
-// The timing and bounds of a Slot.
+// Timing and limits of a Slot.
 const (
-	// DefaultTakeoverAfter is how long a new owner waits for a former one that
-	// writes nothing. Taking a slot over is safe at any time; doing it while
-	// the former owner finishes its calls would only lose their results.
+	// DefaultTakeoverAfter is how long a new owner waits for a former owner that
+	// writes nothing. Taking over is safe at any time; doing so while the former
+	// owner finishes its calls would only lose their results.
 	DefaultTakeoverAfter = 10 * time.Second
-	// DefaultTakeoverMax bounds the wait for a former owner that goes on
-	// writing, because it has not learned of the new plan.
+	// DefaultTakeoverMax is how long a new owner waits for a former owner that
+	// continues to write because it has not received the new plan.
 	DefaultTakeoverMax = 60 * time.Second
-	// DefaultRetention is how long results are kept.
+	// DefaultRetention is how long results are stored.
 	DefaultRetention = 24 * time.Hour
-	// DefaultMaxBytes bounds the record. Each commit writes the whole record,
-	// and the store takes a megabyte.
+	// DefaultMaxBytes limits the size of a record. Each commit writes the whole
+	// record, and the store accepts at most a megabyte.
 	DefaultMaxBytes = 512 << 10
-	// DefaultResultBytes bounds a kept result, encoded.
+	// DefaultResultBytes limits the encoded size of a recorded result.
 	DefaultResultBytes = 2 << 10
 
-	// resultLinger is how long a result waits for a claim to share its commit.
-	// Until then it is kept in memory only; a crash makes it MayHaveRun.
-	resultLinger = 50 * time.Millisecond
-	// maxQueue bounds the requests of a slot that wait for a commit.
+	// maxResultDelay is how long a result waits for a new claim to share its
+	// commit with. Until the commit the result is in memory only: after a crash
+	// its key is answered with MayHaveRun.
+	maxResultDelay = 50 * time.Millisecond
+	// maxQueue limits the requests of a slot that wait for a commit.
 	maxQueue = 256
-	// firstPause and longestPause bound the time between attempts to reach the
-	// store, and between looks at a slot whose former owner has not released.
-	firstPause   = 100 * time.Millisecond
-	longestPause = 2 * time.Second
+	// minRetryDelay and maxRetryDelay bound the backoff between attempts to reach
+	// the store, and between reads of a slot that its former owner has not
+	// released.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 2 * time.Second
 
+	// Retry delays that are suggested to callers.
 	retryInProgress = time.Second
 	retryNotOwner   = 500 * time.Millisecond
 	retryStore      = 2 * time.Second
@@ -45,16 +48,16 @@
 )
 
 var (
-	notOwner = Answer{Kind: NotOwner, RetryAfter: retryNotOwner}
-	down     = Answer{Kind: Unavailable, Reason: "the store is down", RetryAfter: retryStore}
+	notOwner         = Answer{Kind: NotOwner, RetryAfter: retryNotOwner}
+	storeUnavailable = Answer{Kind: Unavailable, Reason: "the store is down", RetryAfter: retryStore}
 )
 
-// SlotConfig says who owns the slot and what it may keep. Zero values mean the
-// defaults.
+// SlotConfig configures a Slot. Zero durations and sizes select the defaults.
 type SlotConfig struct {
 	Service string
 	Slot    int
-	// Owner is the backend server, Incarnation this start of its sidecar.
+	// Owner is the backend server; Incarnation identifies this start of its
+	// sidecar.
 	Owner       string
 	Incarnation string
 
@@ -65,7 +68,7 @@
 	ResultBytes   int
 }
 
-func (c SlotConfig) complete() SlotConfig {
+func (c SlotConfig) withDefaults() SlotConfig {
 	c.Retention = orElse(c.Retention, DefaultRetention)
 	c.TakeoverAfter = orElse(c.TakeoverAfter, DefaultTakeoverAfter)
 	c.TakeoverMax = orElse(c.TakeoverMax, DefaultTakeoverMax)
@@ -82,7 +85,7 @@
 	return v
 }
 
-// purpose is what the write under way is for.
+// purpose is the purpose of the write in flight.
 type purpose uint8
 
 const (
@@ -91,54 +94,58 @@
 	release
 )
 
-// Slot is the state machine of one key slot as one sidecar sees it. It is not
-// safe for use by several goroutines.
+// Slot is the state machine of one key slot, as seen by one sidecar. It is not
+// safe for concurrent use.
 //
-// A former owner may be paused at any point and wake later. It can run only
-// what it has recorded, each write names the version it replaces, and taking a
-// slot over is a write: so its next write fails, and it runs nothing more. A
-// call that it recorded before is never granted to another.
+// A former owner may be paused at any point and resume later. A call runs only
+// after its claim is recorded, each write is conditional on the version that it
+// replaces, and taking over a slot is a write too. The next write of the former
+// owner therefore fails, and it grants no further claims. A key that it claimed
+// before is never granted to another owner.
 type Slot struct {
-	config SlotConfig
-	random *rand.Rand
-	pauses pause.Backoff
+	config  SlotConfig
+	random  *rand.Rand
+	backoff pause.Backoff
 
 	plan     Plan
 	draining bool
 	owned    bool
-	// hasOwned says that this process has owned the slot before.
+	// hasOwned is set once this process has owned the slot.
 	hasOwned bool
 
-	// record and version are those of the last write that is certain, while
-	// owned, or those last read.
+	// record and version are, while the slot is owned, those of the last
+	// confirmed write, otherwise those last read.
 	record   Record
 	version  uint64
-	epochMax uint64
-	// corruptVersion is that of the last record that could not be read.
+	maxEpoch uint64
+	// corruptVersion is the version of the last record that could not be parsed.
 	corruptVersion uint64
-	// takenAt is when the slot was taken; clockAt is Record.Clock of then.
-	takenAt time.Time
-	clockAt int64
+	// acquiredAt is when the slot was acquired; clockAtAcquire is the
+	// Record.Clock at that time.
+	acquiredAt     time.Time
+	clockAtAcquire int64
 
-	// wantedAt is when the plan gave the slot, seenAt when the version of the
-	// former owner's record was first seen.
-	wantedAt time.Time
-	seenAt   time.Time
+	// wantedSince is when the plan assigned the slot to this owner or the slot
+	// was lost; versionSince is when the current version of the former owner's
+	// record was first read, but not before wantedSince.
+	wantedSince  time.Time
+	versionSince time.Time
 
 	keys  map[string]*key
 	queue []string
-	// unsettled are the keys of which the record does not say all that is known,
-	// and settling those that the write under way puts right.
-	unsettled []string
-	settling  []string
-	// owedSince is when the oldest change that is not recorded came up.
-	owedSince time.Time
-
-	write   *sharedstate.Write
-	purpose purpose
-	pending Record
-	calling bool
-	// storeDown says that the last call of the store failed.
+	// unrecorded are the keys with a result or a cancellation that is not in the
+	// record yet; recording are those included in the write in flight.
+	unrecorded []string
+	recording  []string
+	// unrecordedSince is the time of the oldest unrecorded change.
+	unrecordedSince time.Time
+
+	write        *sharedstate.Write
+	purpose      purpose
+	pending      Record
+	callInFlight bool
+	// storeDown is set if a store call of a write failed after the last
+	// successful write.
 	storeDown bool
 	retryAt   time.Time
 
@@ -147,7 +154,7 @@
 }
 
 type slotMetrics struct {
-	commits, claims, takeovers, lostSlots, corrupt, full metrics.Counter
+	commits, claims, takeovers, lostSlots, corrupt, rejectedFull metrics.Counter
 }
 
 func newSlotMetrics() slotMetrics {
@@ -155,51 +162,52 @@
 		return metrics.GetOrRegisterCounter("claims."+name, nil)
 	}
 	return slotMetrics{
-		commits:   counter("commits"),
-		claims:    counter("claimed"),
-		takeovers: counter("takeovers"),
-		lostSlots: counter("slots.lost"),
-		corrupt:   counter("records.corrupt"),
-		full:      counter("records.full"),
+		commits:      counter("commits"),
+		claims:       counter("claimed"),
+		takeovers:    counter("takeovers"),
+		lostSlots:    counter("slots.lost"),
+		corrupt:      counter("records.corrupt"),
+		rejectedFull: counter("records.full"),
 	}
 }
 
-// NewSlot returns a Slot that owns nothing.
+// NewSlot returns a Slot that is not owned.
 func NewSlot(config SlotConfig, random *rand.Rand) *Slot {
 	return &Slot{
-		config:  config.complete(),
+		config:  config.withDefaults(),
 		random:  random,
-		pauses:  pause.Backoff{First: firstPause, Longest: longestPause},
+		backoff: pause.Backoff{First: minRetryDelay, Longest: maxRetryDelay},
 		keys:    map[string]*key{},
 		metrics: newSlotMetrics(),
 	}
 }
 
-// Owned reports whether this sidecar owns the slot, as far as it knows.
+// Owned reports whether this sidecar owns the slot, to its own knowledge.
 func (s *Slot) Owned() bool { return s.owned }
 
-// Idle reports whether nothing is owned, under way or waiting.
-func (s *Slot) Idle() bool { return !s.owned && s.write == nil && !s.calling }
+// Idle reports whether the slot is not owned and no write or store call is in
+// progress.
+func (s *Slot) Idle() bool { return !s.owned && s.write == nil && !s.callInFlight }
 
-// Running returns how many calls were granted and have not ended.
-func (s *Slot) Running() int { return len(s.in(keyRunning)) }
+// Running returns the number of granted calls that have not finished.
+func (s *Slot) Running() int { return len(s.keysIn(keyRunning)) }
 
-// Epoch returns the epoch of the record last seen.
+// Epoch returns the epoch of the record last read or written.
 func (s *Slot) Epoch() uint64 { return s.record.Epoch }
 
-// Step takes one event and returns what to do.
+// Step handles one event and returns the effects to carry out.
 func (s *Slot) Step(now time.Time, ev Event) []Effect {
 	s.effects = nil
 	switch ev := ev.(type) {
 	case Plan:
-		s.planned(now, ev)
+		s.planChanged(now, ev)
 	case Drain:
 		s.draining = true
-		s.refuseQueued(notOwner)
-	case Retain:
+		s.rejectQueued(notOwner)
+	case RetentionChanged:
 		s.config.Retention = ev.Retention
 	case ClaimRequested:
-		s.asked(now, ev)
+		s.claimRequested(now, ev)
 	case Abandoned:
 		s.abandoned(now, ev)
 	case Finished:
@@ -207,7 +215,7 @@
 	case NotStarted:
 		s.notStarted(now, ev.Request)
 	case ResultLost:
-		s.lostResult(ev.Request)
+		s.resultLost(ev.Request)
 	case GetDone:
 		s.getDone(now, ev)
 	case PutDone:
@@ -226,26 +234,26 @@
 	}
 }
 
-// wanted reports whether the slot is to be owned.
+// wanted reports whether this sidecar should own the slot.
 func (s *Slot) wanted() bool { return s.plan.Owned && !s.draining }
 
-func (s *Slot) planned(now time.Time, p Plan) {
+func (s *Slot) planChanged(now time.Time, p Plan) {
 	if p.Version < s.plan.Version {
 		return
 	}
 	if p.Owned && !s.plan.Owned {
-		s.wantedAt = now
-		s.seenAt = now
+		s.wantedSince = now
+		s.versionSince = now
 		s.retryAt = now
-		s.pauses.Reset()
+		s.backoff.Reset()
 	}
 	s.plan = p
 	if !p.Owned {
-		s.refuseQueued(notOwner)
+		s.rejectQueued(notOwner)
 	}
 }
 
-// writeID returns a random id of 128 bits.
+// writeID returns a random 128-bit ID.
 func (s *Slot) writeID() string {
 	return fmt.Sprintf("%016x%016x", s.random.Uint64(), s.random.Uint64())
 }
--- a/internal/claims/store.go
+++ b/internal/claims/store.go
@@ -8,26 +8,26 @@
 	"pistachioroad.dev/pistachioroad/internal/sharedstate"
 )
 
-// advance makes the next call of the store, if one is due.
+// advance emits the next store call, if one is due.
 func (s *Slot) advance(now time.Time) {
-	if s.calling {
+	if s.callInFlight {
 		return
 	}
 	if s.write == nil {
-		s.begin(now)
+		s.startNext(now)
 	}
-	if s.calling || s.write == nil {
+	if s.callInFlight || s.write == nil {
 		return
 	}
 	if now.Before(s.retryAt) {
 		s.emit(Wake{At: s.retryAt})
 		return
 	}
-	s.call(s.write.Next())
+	s.callStore(s.write.Next())
 }
 
-func (s *Slot) call(c sharedstate.Call) {
-	s.calling = true
+func (s *Slot) callStore(c sharedstate.Call) {
+	s.callInFlight = true
 	e := StoreCall{Call: c, Name: s.name()}
 	if c == sharedstate.CallPut {
 		e.Version = s.write.Base
@@ -36,67 +36,68 @@
 	s.emit(e)
 }
 
-// begin decides on the next write or read.
-func (s *Slot) begin(now time.Time) {
+// startNext starts the next write or read, or requests a Wake for it.
+func (s *Slot) startNext(now time.Time) {
 	switch {
 	case !s.owned && !s.wanted():
 	case now.Before(s.retryAt):
 		s.emit(Wake{At: s.retryAt})
 	case !s.owned:
-		s.call(sharedstate.CallGet)
+		s.callStore(sharedstate.CallGet)
 	case len(s.queue) > 0:
 		s.beginCommit(now)
-	case len(s.unsettled) > 0 && (!s.wanted() || !now.Before(s.owedSince.Add(resultLinger))):
+	case len(s.unrecorded) > 0 && (!s.wanted() || !now.Before(s.unrecordedSince.Add(maxResultDelay))):
 		s.beginCommit(now)
-	case len(s.unsettled) > 0:
-		s.emit(Wake{At: s.owedSince.Add(resultLinger)})
+	case len(s.unrecorded) > 0:
+		s.emit(Wake{At: s.unrecordedSince.Add(maxResultDelay)})
 	case !s.wanted() && s.Running() == 0:
 		s.beginRelease(now)
 	}
 }
 
 func (s *Slot) getDone(now time.Time, ev GetDone) {
-	s.calling = false
+	s.callInFlight = false
 	if s.write == nil {
-		s.seen(now, ev)
+		s.recordRead(now, ev)
 		return
 	}
 	s.write.GetDone(ev.Object, ev.Err)
 	if ev.Err != nil {
 		s.storeFailed(now)
 	}
-	s.written(now, nil)
+	s.finishWrite(now, nil)
 }
 
 func (s *Slot) putDone(now time.Time, ev PutDone) {
-	s.calling = false
+	s.callInFlight = false
 	if s.write == nil {
 		return
 	}
 	s.write.PutDone(ev.Version, ev.Err)
-	// A conflict while in doubt means that the next look is conclusive.
+	// A conflict is not a failure of the store: while the write is in doubt, it
+	// makes the next read conclusive.
 	if errors.Is(ev.Err, sharedstate.ErrNotSent) {
 		s.storeFailed(now)
 	}
-	s.written(now, ev.Err)
+	s.finishWrite(now, ev.Err)
 }
 
-// storeFailed pauses, and frees the callers whose claim cannot be settled: they
-// are told "not run", which is true because a claim without a caller is never
-// granted.
+// storeFailed delays the next attempt and rejects the requests whose claims
+// cannot be confirmed. Their callers get "not run", which holds because a claim
+// without a waiting request is never granted.
 func (s *Slot) storeFailed(now time.Time) {
-	s.retryAt = now.Add(s.pauses.Next(s.random))
+	s.retryAt = now.Add(s.backoff.Next(s.random))
 	s.storeDown = true
-	for _, name := range s.in(keyCommitting) {
+	for _, name := range s.keysIn(keyCommitting) {
 		k := s.keys[name]
-		s.reply(k.token, down)
+		s.reply(k.token, storeUnavailable)
 		k.token = 0
 	}
-	s.refuseQueued(down)
+	s.rejectQueued(storeUnavailable)
 }
 
-// written takes the outcome of the write under way, if it is certain.
-func (s *Slot) written(now time.Time, err error) {
+// finishWrite handles the outcome of the write in flight once it is certain.
+func (s *Slot) finishWrite(now time.Time, err error) {
 	if s.write.Next() != sharedstate.CallNone {
 		return
 	}
@@ -104,82 +105,82 @@
 	s.write = nil
 	switch {
 	case w.Outcome() == sharedstate.Applied:
-		s.applied(now, w.Object().Version)
+		s.writeApplied(now, w.Object().Version)
 	case w.Outcome() == sharedstate.NotApplied && !errors.Is(err, sharedstate.ErrConflict):
-		s.notWritten(now)
+		s.writeNotApplied(now)
 	default:
-		s.lostSlot(now)
+		s.ownershipLost(now)
 	}
 }
 
-// applied makes the pending record the one in force.
-func (s *Slot) applied(now time.Time, version uint64) {
+// writeApplied makes the pending record the current one.
+func (s *Slot) writeApplied(now time.Time, version uint64) {
 	s.metrics.commits.Inc(1)
-	s.pauses.Reset()
+	s.backoff.Reset()
 	s.retryAt = now
 	s.storeDown = false
 	before := s.record
 	s.record = s.pending
 	s.version = version
-	s.sawEpoch(s.record.Epoch)
+	s.observeEpoch(s.record.Epoch)
 	invariant.Check(s.record.Owner == s.config.Owner && s.record.Incarnation == s.config.Incarnation,
-		"a slot has one owner", "%s of %s written by %s", s.name(), s.record.Owner, s.config.Owner)
+		"a slot has one owner", "%s: record of owner %s written by %s", s.name(), s.record.Owner, s.config.Owner)
 	switch s.purpose {
 	case acquire:
 		s.acquired()
 	case commit:
 		invariant.Check(before.Epoch == s.record.Epoch, "a slot has one owner",
-			"%s went from epoch %d to %d in one commit", s.name(), before.Epoch, s.record.Epoch)
+			"%s: epoch changed from %d to %d within a commit", s.name(), before.Epoch, s.record.Epoch)
 		s.committed(now)
 	case release:
-		s.refuseQueued(notOwner)
+		s.rejectQueued(notOwner)
 		s.owned = false
 		s.keys = map[string]*key{}
 		s.emit(Ownership{Owned: false, Epoch: s.record.Epoch})
 	}
 }
 
-// notWritten undoes a write that certainly did not happen.
-func (s *Slot) notWritten(now time.Time) {
-	for _, name := range s.in(keyCommitting) {
+// writeNotApplied reverts a write that certainly did not take effect.
+func (s *Slot) writeNotApplied(now time.Time) {
+	for _, name := range s.keysIn(keyCommitting) {
 		k := s.keys[name]
-		s.reply(k.token, down)
-		s.forgetQueued(name, k)
+		s.reply(k.token, storeUnavailable)
+		s.cancelQueued(name, k)
 	}
-	s.rebuildUnsettled(now)
+	s.rebuildUnrecorded(now)
 }
 
-// rebuildUnsettled lists anew what the record does not say yet.
-func (s *Slot) rebuildUnsettled(now time.Time) {
-	s.unsettled = nil
-	s.settling = nil
-	for _, name := range s.in(keyOwed, keyDropped) {
-		s.changed(now, name)
+// rebuildUnrecorded recomputes the list of unrecorded keys.
+func (s *Slot) rebuildUnrecorded(now time.Time) {
+	s.unrecorded = nil
+	s.recording = nil
+	for _, name := range s.keysIn(keyFinished, keyCancelled) {
+		s.markUnrecorded(now, name)
 	}
 }
 
-// lostSlot ends the ownership after another sidecar wrote the record. Calls
-// that were granted go on; nothing waits for their results any more.
-func (s *Slot) lostSlot(now time.Time) {
-	for _, name := range s.in(keyQueued, keyCommitting) {
+// ownershipLost ends the ownership after another sidecar wrote the record.
+// Granted calls continue, but their results are no longer recorded.
+func (s *Slot) ownershipLost(now time.Time) {
+	for _, name := range s.keysIn(keyQueued, keyCommitting) {
 		s.reply(s.keys[name].token, notOwner)
 	}
 	if s.owned {
 		s.metrics.lostSlots.Inc(1)
-		s.wantedAt = now
-		s.seenAt = now
+		s.wantedSince = now
+		s.versionSince = now
 		s.emit(Ownership{Owned: false, Epoch: s.record.Epoch})
 	}
 	s.owned = false
 	s.keys = map[string]*key{}
 	s.queue = nil
-	s.unsettled = nil
-	s.settling = nil
-	s.retryAt = now.Add(s.pauses.Next(s.random))
+	s.unrecorded = nil
+	s.recording = nil
+	s.retryAt = now.Add(s.backoff.Next(s.random))
 }
 
-func (s *Slot) sawEpoch(epoch uint64) {
-	invariant.Check(epoch >= s.epochMax, "epochs only rise",
-		"%s went from epoch %d to %d", s.name(), s.epochMax, epoch)
-	s.epochMax = max(s.epochMax, epoch)
+func (s *Slot) observeEpoch(epoch uint64) {
+	invariant.Check(epoch >= s.maxEpoch, "epochs only rise",
+		"%s: epoch went from %d to %d", s.name(), s.maxEpoch, epoch)
+	s.maxEpoch = max(s.maxEpoch, epoch)
 }
--- a/internal/claims/world_test.go
+++ b/internal/claims/world_test.go
@@ -10,73 +10,73 @@
 	"pistachioroad.dev/pistachioroad/internal/sharedstate"
 )
 
-// fate is what happens to one update of the store.
-type fate string
+// fault is what goes wrong in one store call.
+type fault string
 
 const (
-	fine fate = "fine"
-	// replyLost updates take effect at once, late ones some seconds after their
-	// writer has given up waiting, dropped ones never.
-	replyLost fate = "reply lost"
-	late      fate = "late write"
-	dropped   fate = "dropped write"
-	outage    fate = "store outage"
+	noFault fault = "fine"
+	// The update takes effect immediately (replyLost), seconds after its writer
+	// has timed out (lateWrite), or never (droppedWrite).
+	replyLost    fault = "reply lost"
+	lateWrite    fault = "late write"
+	droppedWrite fault = "dropped write"
+	outage       fault = "store outage"
 )
 
-// world is a slot, a store and several sidecars in virtual time.
+// world simulates a slot, a store and several sidecars in virtual time.
 type world struct {
 	random *rand.Rand
 	now    time.Time
-	due    []dueEvent
+	timers []timer
 	serial int
 
-	store  sharedstate.Object
-	puts   int
-	fate   func() fate
-	owners []*owner
-	// takeoverAfter is that of the sidecars; zero: the default.
+	store     sharedstate.Object
+	puts      int
+	nextFault func() fault
+	owners    []*owner
+	// takeoverAfter is the SlotConfig.TakeoverAfter of the sidecars.
 	takeoverAfter time.Duration
-	// maxBytes bounds the record; zero: the default.
+	// maxBytes is the SlotConfig.MaxBytes of the sidecars.
 	maxBytes int
 
-	tokens  uint64
-	asked   map[uint64]claims.Request
-	answers map[uint64]claims.Answer
-	// runs counts the runs of each key, results has the result of each.
+	tokens   uint64
+	requests map[uint64]claims.Request
+	answers  map[uint64]claims.Answer
+	// runs counts the runs of each key; results holds the result of the last run.
 	runs    map[string]int
 	results map[string]claims.Result
-	// step is how a granted call begins; nil: at once.
+	// granted starts the call of a granted claim.
 	granted func(o *owner, token uint64, r claims.Request)
-	faults  map[fate]int
+	faults  map[fault]int
 }
 
-type dueEvent struct {
+type timer struct {
 	at     time.Time
 	serial int
 	do     func()
 }
 
-// owner is a sidecar. A paused one takes its events when it wakes, a killed one
-// loses them.
+// owner is a sidecar. Its events are delayed while it is paused and dropped when
+// it is killed.
 type owner struct {
 	name        string
 	incarnation int
 	slot        *claims.Slot
 	paused      bool
-	held        []func()
-	wake        int
+	heldEvents  []func()
+	lastWake    int
 }
 
 func newWorld(seed uint64, owners ...string) *world {
 	w := &world{
-		random:  rand.New(rand.NewPCG(seed, 7)),
-		now:     time.Unix(1_000_000, 0),
-		fate:    func() fate { return fine },
-		asked:   map[uint64]claims.Request{},
-		answers: map[uint64]claims.Answer{},
-		runs:    map[string]int{},
-		results: map[string]claims.Result{},
-		faults:  map[fate]int{},
+		random:    rand.New(rand.NewPCG(seed, 7)),
+		now:       time.Unix(1_000_000, 0),
+		nextFault: func() fault { return noFault },
+		requests:  map[uint64]claims.Request{},
+		answers:   map[uint64]claims.Answer{},
+		runs:      map[string]int{},
+		results:   map[string]claims.Result{},
+		faults:    map[fault]int{},
 	}
 	w.granted = func(o *owner, _ uint64, r claims.Request) { w.run(o, r, 10*time.Millisecond) }
 	for _, name := range owners {
@@ -87,38 +87,39 @@
 	return w
 }
 
-// restart ends the sidecar and begins a new one beside the same backend server.
+// restart replaces the sidecar by a new process for the same backend server.
 func (w *world) restart(o *owner) {
 	o.incarnation++
 	o.paused = false
-	o.held = nil
+	o.heldEvents = nil
 	o.slot = claims.NewSlot(claims.SlotConfig{
 		Service: "holds", Owner: o.name, Incarnation: fmt.Sprintf("%s-%d", o.name, o.incarnation),
 		TakeoverAfter: w.takeoverAfter, MaxBytes: w.maxBytes,
 	}, w.random)
 }
 
-// after calls do when d has passed.
+// after calls do after d.
 func (w *world) after(d time.Duration, do func()) {
 	w.serial++
-	w.due = append(w.due, dueEvent{at: w.now.Add(d), serial: w.serial, do: do})
+	w.timers = append(w.timers, timer{at: w.now.Add(d), serial: w.serial, do: do})
 }
 
-// afterAt calls do in the process that o is now: not before it wakes, and not
-// at all when it was killed.
+// afterAt calls do after d in the current process of o: once it resumes if it is
+// paused, and not at all if it was killed.
 func (w *world) afterAt(o *owner, d time.Duration, do func()) {
-	w.after(d, o.only(do))
+	w.after(d, o.whileCurrent(do))
 }
 
-// only returns do for the process that o is now.
-func (o *owner) only(do func()) func() {
+// whileCurrent returns a function that runs do in the current process of o, as
+// described at afterAt.
+func (o *owner) whileCurrent(do func()) func() {
 	incarnation := o.incarnation
 	var arrive func()
 	arrive = func() {
 		switch {
 		case o.incarnation != incarnation:
 		case o.paused:
-			o.held = append(o.held, arrive)
+			o.heldEvents = append(o.heldEvents, arrive)
 		default:
 			do()
 		}
@@ -127,19 +128,19 @@
 }
 
 func (w *world) wakeUp(o *owner) {
-	held := o.held
+	held := o.heldEvents
 	o.paused = false
-	o.held = nil
+	o.heldEvents = nil
 	for _, do := range held {
 		do()
 	}
 }
 
-// advance lets virtual time pass.
+// advance moves virtual time forward by d and runs the timers that become due.
 func (w *world) advance(d time.Duration) {
 	end := w.now.Add(d)
-	for len(w.due) > 0 {
-		next := slices.MinFunc(w.due, func(a, b dueEvent) int {
+	for len(w.timers) > 0 {
+		next := slices.MinFunc(w.timers, func(a, b timer) int {
 			if c := a.at.Compare(b.at); c != 0 {
 				return c
 			}
@@ -148,7 +149,7 @@
 		if next.at.After(end) {
 			break
 		}
-		w.due = slices.DeleteFunc(w.due, func(e dueEvent) bool { return e.serial == next.serial })
+		w.timers = slices.DeleteFunc(w.timers, func(e timer) bool { return e.serial == next.serial })
 		w.now = next.at
 		next.do()
 	}
@@ -163,10 +164,10 @@
 		case claims.Reply:
 			w.answered(o, e)
 		case claims.Wake:
-			o.wake++
-			wake := o.wake
+			o.lastWake++
+			wake := o.lastWake
 			w.afterAt(o, e.At.Sub(w.now), func() {
-				if o.wake == wake {
+				if o.lastWake == wake {
 					w.step(o, claims.Tick{})
 				}
 			})
@@ -176,7 +177,7 @@
 
 func (w *world) call(o *owner, c claims.StoreCall) {
 	const timeout = time.Second
-	f := w.fate()
+	f := w.nextFault()
 	w.faults[f]++
 	delay := time.Duration(1+w.random.IntN(5)) * time.Millisecond
 	if c.Call == sharedstate.CallGet {
@@ -189,9 +190,9 @@
 	case outage:
 		w.afterAt(o, delay, func() { w.step(o, claims.PutDone{Err: sharedstate.ErrNotSent}) })
 		return
-	case fine:
+	case noFault:
 		done := claims.PutDone{}
-		reply := o.only(func() { w.step(o, done) })
+		reply := o.whileCurrent(func() { w.step(o, done) })
 		w.after(delay, func() {
 			done.Version, done.Err = put()
 			w.after(delay, reply)
@@ -199,17 +200,17 @@
 		return
 	case replyLost:
 		w.after(delay, func() { _, _ = put() })
-	case late:
+	case lateWrite:
 		w.after(timeout+time.Duration(w.random.IntN(5000))*time.Millisecond, func() { _, _ = put() })
 	}
 	w.afterAt(o, timeout, func() { w.step(o, claims.PutDone{Err: sharedstate.ErrUnknown}) })
 }
 
-func (w *world) get(o *owner, f fate, delay time.Duration) {
+func (w *world) get(o *owner, f fault, delay time.Duration) {
 	done := claims.GetDone{Err: sharedstate.ErrUnavailable}
-	reply := o.only(func() { w.step(o, done) })
+	reply := o.whileCurrent(func() { w.step(o, done) })
 	w.after(delay, func() {
-		if f == fine {
+		if f == noFault {
 			done = claims.GetDone{Object: w.store}
 		}
 		w.after(delay, reply)
@@ -224,12 +225,12 @@
 	return w.store.Version, nil
 }
 
-// ask sends a request to o and returns its token.
-func (w *world) ask(o *owner, key string, body uint64) uint64 {
+// request sends a request to o and returns its token.
+func (w *world) request(o *owner, key string, body uint64) uint64 {
 	w.tokens++
 	token := w.tokens
 	r := claims.Request{Service: "holds", Key: key, BodyDigest: body, RequestID: fmt.Sprintf("r%d", token)}
-	w.asked[token] = r
+	w.requests[token] = r
 	w.afterAt(o, 0, func() { w.step(o, claims.ClaimRequested{Token: token, Request: r}) })
 	return token
 }
@@ -239,7 +240,7 @@
 		panic(fmt.Sprintf("request %d answered twice", e.Token))
 	}
 	w.answers[e.Token] = e.Answer
-	r := w.asked[e.Token]
+	r := w.requests[e.Token]
 	switch e.Answer.Kind {
 	case claims.Granted:
 		w.granted(o, e.Token, r)
@@ -250,8 +251,8 @@
 	}
 }
 
-// run starts a call, which ends on the backend server whatever becomes of the
-// sidecar.
+// run starts a call on the backend server, which runs it even if the sidecar
+// ends, and reports its result after d.
 func (w *world) run(o *owner, r claims.Request, d time.Duration) {
 	w.runs[r.Key]++
 	if w.runs[r.Key] > 1 {
@@ -262,14 +263,14 @@
 	w.afterAt(o, d, func() { w.step(o, claims.Finished{Request: r, Result: result}) })
 }
 
-// give lets the plan give the slot to one owner.
-func (w *world) give(version uint64, to *owner) {
+// assignTo sends all sidecars a plan that assigns the slot to one owner.
+func (w *world) assignTo(version uint64, to *owner) {
 	for _, o := range w.owners {
 		w.afterAt(o, 0, func() { w.step(o, claims.Plan{Version: version, Owned: o == to}) })
 	}
 }
 
-// record returns what the store holds.
+// record returns the record in the store.
 func (w *world) record() claims.Record {
 	r, err := claims.ParseRecord(w.store.Value)
 	if err != nil {
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,11 +1,12 @@
-// Package lease gives one process at a time the right to act, by an object of
-// the store that is changed by conditional update.
+// Package lease grants one process at a time the right to act, by conditional
+// updates of an object in the store.
 //
-// A grant is valid from the moment the winning write was sent, by a clock that
-// does not stop, for Valid. Another process takes the lease only after it has
-// seen the object unchanged for Wait, which is longer by Gap: whatever the
-// holder sent at the end of its grant has arrived long before the next holder
-// begins. Neither side compares clocks with the other.
+// A grant is valid for Config.Valid, counted from the time at which the write
+// that acquired it was sent, by a clock that does not stop during a suspend.
+// Another process takes the lease only after it has seen the object unchanged
+// for Valid plus Gap, so that whatever the holder sent at the end of its grant
+// has arrived long before the next holder begins. The clocks of two processes
+// are never compared.
 package lease
 
 import (
@@ -19,62 +20,67 @@
 	"pistachioroad.dev/pistachioroad/internal/store"
 )
 
-// Kind is the kind of the objects of leases.
+// Kind is the object kind of leases in the store.
 const Kind = "pistachioroad-leases"
 
-// ErrHeld says that another process holds the lease, or may hold it.
+// ErrHeld is returned if another process holds the lease, or may hold it.
 var ErrHeld = errors.New("lease: held by another process")
 
-// Config sets a Lease.
+// Config configures a Lease.
 type Config struct {
 	Name string
-	// Holder is this VM, Incarnation random per start: a process that was
-	// restarted does not know what the one before it sent.
+	// Holder is the name of this VM. Incarnation is random for each start, as a
+	// restarted process does not know what its predecessor sent.
 	Holder      string
 	Incarnation string
-	// Valid is how long a grant lasts, Gap the time between the last act of one
-	// holder and the first of the next.
+	// Valid is the duration of a grant; Gap is the minimum time between the end of
+	// one holder's grant and the start of the next holder's.
 	Valid, Gap time.Duration
-	// Clock must go on while the VM is suspended.
+	// Clock returns the time since a fixed point. It must not stop while the VM is
+	// suspended.
 	Clock func() time.Duration
 }
 
-// Grant is the right to act until it ends.
+// Grant is the right to act until it expires.
 type Grant struct {
-	// Fence grows with each grant of the lease, whoever gets it.
+	// Fence is the fencing token. It increases with each grant of the lease,
+	// across all holders.
 	Fence int64
-	// until is by the lease's clock.
-	until time.Duration
-	clock func() time.Duration
+	// expires is a time of clock.
+	expires time.Duration
+	clock   func() time.Duration
 }
 
-// Left returns how long the grant is still valid.
-func (g Grant) Remaining() time.Duration { return g.until - g.clock() }
+// Remaining returns how long the grant is still valid; it is negative after the
+// grant has expired.
+func (g Grant) Remaining() time.Duration { return g.expires - g.clock() }
 
-// Lease is one process's view of a lease. Its methods are for one goroutine.
+// Lease is one process's view of a lease. It is not safe for concurrent use.
 type Lease struct {
 	config Config
 	store  store.Store
 
-	// seen is the revision last seen, since when it was first seen.
-	seen  int64
-	since time.Duration
+	// lastRevision is the revision last seen; lastChange is when it was first
+	// seen, or sent if this process wrote it.
+	lastRevision int64
+	lastChange   time.Duration
 }
 
-// New returns a Lease that holds nothing.
+// New returns a Lease that is not held.
 func New(s store.Store, c Config) *Lease { return &Lease{config: c, store: s} }
 
-// value is the lease's object.
-type value struct {
+// leaseSpec is the content of the lease's object.
+type leaseSpec struct {
 	Holder      string `json:"holder"`
 	Incarnation string `json:"incarnation"`
-	// Write tells the writes of one holder apart: it finds its own after the
-	// answer was lost.
-	Write string `json:"write"`
+	// WriteID distinguishes the writes of one holder, so that it can recognize its
+	// own write after the reply was lost.
+	WriteID string `json:"write"`
 }
 
-// Acquire takes or renews the lease. ErrHeld asks to try again later; the
-// lease must be asked for repeatedly for its age to be known.
+// Acquire acquires or renews the lease. It returns ErrHeld if the lease is not
+// available yet. It must then be called repeatedly, as the age of the holder's
+// last write is measured from the call that first saw it.
 func (l *Lease) Acquire(ctx context.Context) (Grant, error) {
 	o, err := l.store.Get(ctx, Kind, l.config.Name)
 	if errors.Is(err, store.ErrNotFound) {
@@ -84,18 +90,19 @@
 		return Grant{}, err
 	}
 	now := l.config.Clock()
-	if o.Revision != l.seen {
-		l.seen, l.since = o.Revision, now
+	if o.Revision != l.lastRevision {
+		l.lastRevision, l.lastChange = o.Revision, now
 	}
-	if !l.mine(o) && now-l.since < l.config.Valid+l.config.Gap {
+	if !l.wroteObject(o) && now-l.lastChange < l.config.Valid+l.config.Gap {
 		return Grant{}, ErrHeld
 	}
 	return l.update(ctx, o.Revision)
 }
 
-// mine reports whether this start of this process wrote the object.
-func (l *Lease) mine(o store.Object) bool {
-	var v value
+// wroteObject reports whether this process, in its current incarnation, wrote
+// the object.
+func (l *Lease) wroteObject(o store.Object) bool {
+	var v leaseSpec
 	if err := json.Unmarshal(o.Spec, &v); err != nil {
 		return false
 	}
@@ -103,22 +110,23 @@
 }
 
 func (l *Lease) create(ctx context.Context) (Grant, error) {
-	return l.write(ctx, func(v value) (store.Object, error) {
+	return l.write(ctx, func(v leaseSpec) (store.Object, error) {
 		return l.store.Create(ctx, Kind, l.config.Name, v)
 	})
 }
 
 func (l *Lease) update(ctx context.Context, revision int64) (Grant, error) {
-	return l.write(ctx, func(v value) (store.Object, error) {
+	return l.write(ctx, func(v leaseSpec) (store.Object, error) {
 		return l.store.Update(ctx, Kind, l.config.Name, revision, v)
 	})
 }
 
-// write does one conditional write. If its answer is lost, the object tells
-// whether it was done; the grant counts from before the write either way. A
-// write that lands later still leaves an object that nobody acts on.
-func (l *Lease) write(ctx context.Context, do func(value) (store.Object, error)) (Grant, error) {
-	v := value{Holder: l.config.Holder, Incarnation: l.config.Incarnation, Write: uuid.NewString()}
+// write makes one conditional write. If its reply is lost, the object is read to
+// find out whether the write took effect; the grant starts when the write was
+// sent either way. A write that takes effect after that read leaves a lease that
+// no process acts on.
+func (l *Lease) write(ctx context.Context, do func(leaseSpec) (store.Object, error)) (Grant, error) {
+	v := leaseSpec{Holder: l.config.Holder, Incarnation: l.config.Incarnation, WriteID: uuid.NewString()}
 	sent := l.config.Clock()
 	o, err := do(v)
 	switch {
@@ -130,14 +138,14 @@
 		return Grant{}, err
 	}
 	o, readErr := l.store.Get(ctx, Kind, l.config.Name)
-	var there value
-	if readErr != nil || json.Unmarshal(o.Spec, &there) != nil || there.Write != v.Write {
+	var stored leaseSpec
+	if readErr != nil || json.Unmarshal(o.Spec, &stored) != nil || stored.WriteID != v.WriteID {
 		return Grant{}, err
 	}
 	return l.grant(o, sent), nil
 }
 
 func (l *Lease) grant(o store.Object, sent time.Duration) Grant {
-	l.seen, l.since = o.Revision, sent
-	return Grant{Fence: o.Revision, until: sent + l.config.Valid, clock: l.config.Clock}
+	l.lastRevision, l.lastChange = o.Revision, sent
+	return Grant{Fence: o.Revision, expires: sent + l.config.Valid, clock: l.config.Clock}
 }
--- a/internal/orders/event.go
+++ b/internal/orders/event.go
@@ -7,36 +7,37 @@
 	"pistachioroad.dev/pistachioroad/internal/plan"
 )
 
-// Event is what an Executor learns.
+// Event is an input of an Executor.
 type Event interface{ isEvent() }
 
-// RowSeen brings the engine's row of the plan with the highest version held.
+// RowReceived reports the engine's row in the latest plan version held.
 type RowReceived struct{ Row plan.Engine }
 
-// StateRead answers a ReadState. Asked is when the engine was asked.
+// StateRead is the result of a ReadState. Asked is when the read was sent.
 type StateRead struct {
 	Asked time.Time
 	State engine.State
 	Err   error
 }
 
-// OrderAnswered answers a SendOrder. Err is nil, or engine.ErrNotSent,
-// engine.ErrRefused, engine.ErrFenced or engine.ErrBroken.
+// OrderAnswered is the result of a SendOrder. Err is nil, or engine.ErrNotSent,
+// engine.ErrRejected, engine.ErrFenced or engine.ErrInterrupted.
 type OrderAnswered struct {
 	Generation uint64
 	Err        error
 }
 
-// WorkRunning tells how many requests the engine runs or may still run.
+// RunningRequests reports how many requests the engine runs or may still run.
 type RunningRequests struct{ Count int }
 
-// EngineBroke tells that a generation broke off: the engine may have crashed.
+// EngineMayHaveCrashed reports that the engine stopped in the middle of a request,
+// so that its state must be read again.
 type EngineMayHaveCrashed struct{}
 
-// DrainTimeoutSet changes how long running requests may go on before HandOver.
+// DrainTimeoutSet changes how long running requests may continue before HandOver.
 type DrainTimeoutSet struct{ Timeout time.Duration }
 
-// Tick lets time pass.
+// Tick makes the Executor act on the passage of time.
 type Tick struct{}
 
 func (RowReceived) isEvent()          {}
@@ -47,23 +48,24 @@
 func (DrainTimeoutSet) isEvent()      {}
 func (Tick) isEvent()                 {}
 
-// Effect is what an Executor wants done.
+// Effect is an action that an Executor requests.
 type Effect interface{ isEffect() }
 
-// StopAdmitting ends the admission of requests to the engine.
+// StopAdmitting closes the admission of requests to the engine.
 type StopAdmitting struct{ Reason string }
 
-// Admit opens the admission of requests for what the engine now is.
+// Admit opens the admission of requests for the engine's configuration Applied.
 type Admit struct{ Applied engine.Order }
 
-// HandOver asks for running requests to be ended so that their entries resume
-// them on another engine: the drain timeout has passed.
+// HandOver requests that running requests are aborted, so that their entries
+// resume them on another engine. It is emitted when the drain timeout expires.
 type HandOver struct{}
 
-// ReadState asks for the engine's state; StateRead answers it.
+// ReadState requests a read of the engine's state; StateRead is its result.
 type ReadState struct{}
 
-// SendOrder gives the engine an order; OrderAnswered answers it.
+// SendOrder requests that an order is sent to the engine; OrderAnswered is its
+// result.
 type SendOrder struct{ Order engine.Order }
 
 func (StopAdmitting) isEffect() {}
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -1,16 +1,17 @@
-// Package orders brings one engine to its row of the plan. It is the only part
-// of the system that orders the engine.
+// Package orders brings one engine to the configuration (role, model, adapters and
+// weights) of its row in the plan. In the sidecar deployment, no other part of the
+// system sends orders to the engine.
 //
-// An Executor is a state machine without I/O. It passes through these phases;
-// only its own Step changes them:
+// An Executor is a state machine without I/O. Only its Step method changes its
+// phase:
 //
-//	Uncertain -> Serving     the engine is ready and is what the row says
-//	Uncertain -> Draining    the engine is ready and the row says otherwise
-//	Serving   -> Draining    a row with a higher generation says otherwise
-//	Draining  -> Ordering    nothing runs any more: the order is sent
+//	Uncertain -> Serving     the engine is ready and matches the row
+//	Uncertain -> Draining    the engine is ready and differs from the row
+//	Serving   -> Draining    a row with a higher generation differs from the engine
+//	Draining  -> Ordering    no request runs any more: the order is sent
 //	Draining  -> Serving     the row changed back before the order was sent
 //	Ordering  -> Uncertain   the order was answered, or its outcome is unknown
-//	any       -> Uncertain   the engine broke off or restarted
+//	any       -> Uncertain   the engine stopped in the middle of a request, or restarted
 package orders
 
 import (
@@ -24,38 +25,38 @@
 )
 
 const (
-	// readInterval is how often the state of an engine that is not serving is
-	// read.
+	// readInterval is the time between reads of the state of an engine that is not
+	// serving.
 	readInterval = 100 * time.Millisecond
-	// serveReadInterval is how often a serving engine's state is read: a
-	// restart of the engine is seen by its new incarnation.
-	serveReadInterval = time.Second
-	// readTimeout is after how long an unanswered read is asked again.
+	// servingReadInterval is the time between reads of the state of a serving
+	// engine. They detect a restart of the engine by its new incarnation.
+	servingReadInterval = time.Second
+	// readTimeout is the time after which a read without a result is repeated.
 	readTimeout = 2 * time.Second
-	// retryInterval is the pause before an order that was refused, or never
-	// reached the engine, is sent again.
+	// retryInterval is the delay before an order that was rejected, or did not reach
+	// the engine, is sent again.
 	retryInterval = 500 * time.Millisecond
-	// startGrace is how long a fresh process waits for rows from several
-	// entries before its first order: the first to answer may be behind.
+	// startGrace is how long a new process collects rows from several entries before
+	// its first order: the plan of the first entry to respond may be outdated.
 	startGrace = 2 * time.Second
 )
 
-// Config sets an Executor.
+// Config configures an Executor.
 type Config struct {
-	// ChecksFencingToken says that the engine refuses an order below the
-	// highest generation that it has taken.
+	// ChecksFencingToken is set if the engine rejects orders with a generation lower
+	// than the highest that it has accepted.
 	ChecksFencingToken bool
 	// OrderTimeout is how long an order of unknown outcome may still be in
 	// flight.
 	OrderTimeout time.Duration
-	// DrainTimeout is how long running requests may go on before HandOver.
+	// DrainTimeout is how long running requests may continue before HandOver.
 	DrainTimeout time.Duration
 }
 
 // Phase is the state of an Executor.
 type Phase string
 
-// The phases.
+// The phases of an Executor.
 const (
 	Uncertain Phase = "uncertain"
 	Serving   Phase = "serving"
@@ -63,7 +64,8 @@
 	Ordering  Phase = "ordering"
 )
 
-// Executor brings one engine to its row. Its methods are for one goroutine.
+// Executor brings one engine to the configuration of its row. It is not safe for
+// concurrent use.
 type Executor struct {
 	config  Config
 	started time.Time
@@ -74,25 +76,27 @@
 
 	state     engine.State
 	haveState bool
-	// stateAsked is when the engine was asked for the state held.
-	stateAsked time.Time
-	reading    bool
-	askedAt    time.Time
+	// stateRequestedAt is when the read that returned state was sent.
+	stateRequestedAt time.Time
+	readInFlight     bool
+	lastReadAt       time.Time
 
 	running     int
 	drainSince  time.Time
 	handedOver  bool
 	outstanding *sentOrder
-	// quietUntil is when no earlier order can be in flight any more.
-	quietUntil time.Time
-	// notBefore delays the next order after one that failed.
-	notBefore time.Time
-	// ordered is the highest generation sent by this process, fenced the
-	// highest that the engine refused as too old.
-	ordered uint64
-	fenced  uint64
-	// distrustReadsBefore drops answers asked before the last order.
-	distrustReadsBefore time.Time
+	// inFlightUntil is the time until which an order of unknown outcome may still be
+	// in flight.
+	inFlightUntil time.Time
+	// retryAt is the earliest time of the next order after one that failed.
+	retryAt time.Time
+	// highestSent is the highest generation sent by this process, highestFenced the
+	// highest that the engine rejected as too old.
+	highestSent   uint64
+	highestFenced uint64
+	// ignoreReadsBefore is when the last order ended. Results of reads that were sent
+	// before it are dropped.
+	ignoreReadsBefore time.Time
 }
 
 type sentOrder struct {
@@ -100,28 +104,29 @@
 	at    time.Time
 }
 
-// New returns an Executor that knows nothing. The process before it may have
-// died with an order in flight, so the first OrderTimeout counts as that.
+// New returns an Executor without any state of the engine. A previous process may
+// have ended with an order in flight, so one is assumed until OrderTimeout has
+// elapsed.
 func New(now time.Time, c Config) *Executor {
 	return &Executor{
-		config:     c,
-		started:    now,
-		phase:      Uncertain,
-		quietUntil: now.Add(c.OrderTimeout),
+		config:        c,
+		started:       now,
+		phase:         Uncertain,
+		inFlightUntil: now.Add(c.OrderTimeout),
 	}
 }
 
-// Phase returns the phase.
 func (x *Executor) Phase() Phase { return x.phase }
 
-// Generation returns the generation in force at the engine, 0 if unknown.
+// Generation returns the generation that the engine last reported as applied, 0 if
+// unknown.
 func (x *Executor) Generation() uint64 { return x.state.Applied.Generation }
 
-// Step takes one event and returns what is to be done, in order.
+// Step handles one event and returns the effects to carry out, in order.
 func (x *Executor) Step(now time.Time, e Event) []Effect {
 	switch e := e.(type) {
 	case RowReceived:
-		x.rowSeen(e.Row)
+		x.rowReceived(e.Row)
 	case StateRead:
 		x.stateRead(e)
 	case OrderAnswered:
@@ -136,9 +141,9 @@
 	return x.reconcile(now)
 }
 
-// rowSeen takes a row only if its generation is not below the one held: a
-// stale relay must not undo a newer order.
-func (x *Executor) rowSeen(row plan.Engine) {
+// rowReceived accepts a row unless its generation is lower than that of the current
+// row: an entry with an outdated plan must not revert a newer order.
+func (x *Executor) rowReceived(row plan.Engine) {
 	if x.haveRow && row.Generation < x.row.Generation {
 		return
 	}
@@ -146,17 +151,17 @@
 }
 
 func (x *Executor) stateRead(e StateRead) {
-	x.reading = false
+	x.readInFlight = false
 	if e.Err != nil {
 		x.haveState = false
 		return
 	}
-	// An answer from before the order would show the engine ready and let
-	// requests in that the order then cuts.
-	if e.Asked.Before(x.distrustReadsBefore) {
+	// A state from before the order could show the engine as ready. Requests would be
+	// admitted and then aborted by the order.
+	if e.Asked.Before(x.ignoreReadsBefore) {
 		return
 	}
-	x.state, x.haveState, x.stateAsked = e.State, true, e.Asked
+	x.state, x.haveState, x.stateRequestedAt = e.State, true, e.Asked
 }
 
 func (x *Executor) orderAnswered(now time.Time, e OrderAnswered) {
@@ -168,83 +173,84 @@
 	switch {
 	case e.Err == nil:
 	case errors.Is(e.Err, engine.ErrFenced):
-		x.fenced = max(x.fenced, e.Generation)
+		x.highestFenced = max(x.highestFenced, e.Generation)
 	case errors.Is(e.Err, engine.ErrNotSent), errors.Is(e.Err, engine.ErrRejected):
-		x.notBefore = now.Add(retryInterval)
+		x.retryAt = now.Add(retryInterval)
 	default:
-		x.orderLost(sent.at)
+		x.orderOutcomeUnknown(sent.at)
 	}
 }
 
-// endOrder forgets what was known of the engine before the order.
+// endOrder discards the engine's state from before the order.
 func (x *Executor) endOrder(now time.Time) {
 	x.outstanding = nil
 	x.haveState = false
-	x.distrustReadsBefore = now
+	x.ignoreReadsBefore = now
 	x.phase = Uncertain
 }
 
-// orderLost treats an order whose answer was lost as still in flight. Sending
-// another at once could let the two arrive in either order, and the engine
-// would end up as the older says; one would notice an engine that serves
-// another model than its row.
-func (x *Executor) orderLost(sentAt time.Time) {
-	x.quietUntil = sentAt.Add(x.config.OrderTimeout)
+// orderOutcomeUnknown treats an order whose reply was lost as still in flight. If
+// another order were sent immediately, the two could arrive in either sequence and
+// the older one could take effect last. Symptom: an engine serves a different model
+// than its row says.
+func (x *Executor) orderOutcomeUnknown(sentAt time.Time) {
+	x.inFlightUntil = sentAt.Add(x.config.OrderTimeout)
 }
 
-// reconcile compares the engine with its row and takes the next step.
+// reconcile compares the engine with its row and returns the effects of the next
+// step.
 func (x *Executor) reconcile(now time.Time) []Effect {
 	if x.outstanding != nil {
 		return x.awaitOrder(now)
 	}
 	read := x.readIfDue(now)
 	if !x.haveState || !x.state.Ready || x.state.Changing {
-		return append(x.enter(Uncertain, "the engine's state is not known or not ready"), read...)
+		return append(x.closeAdmission(Uncertain, "the engine's state is not known or not ready"), read...)
 	}
-	if x.settled(now) {
+	if x.canServe(now) {
 		return append(x.serve(), read...)
 	}
-	if !x.wantsOrder() {
-		return append(x.enter(Uncertain, "an order of an earlier process may be in flight"), read...)
+	if !x.needsOrder() {
+		return append(x.closeAdmission(Uncertain, "an order of an earlier process may be in flight"), read...)
 	}
 	return append(x.drain(now), read...)
 }
 
-// awaitOrder waits for the answer of the order sent, up to OrderTimeout.
+// awaitOrder waits for the result of the outstanding order, up to OrderTimeout.
 func (x *Executor) awaitOrder(now time.Time) []Effect {
 	if now.Sub(x.outstanding.at) < x.config.OrderTimeout {
 		return nil
 	}
 	sentAt := x.outstanding.at
 	x.endOrder(now)
-	x.orderLost(sentAt)
+	x.orderOutcomeUnknown(sentAt)
 	return x.readIfDue(now)
 }
 
-// settled reports whether requests may run on the engine as it is. That the
-// engine is what its row says is not enough after a start: the row can be stale,
-// and the newer order of the process before may still land and cut what runs.
-// One's own order has landed when the engine shows it, and no other is in
-// flight.
-func (x *Executor) settled(now time.Time) bool {
-	landed := x.ordered > 0 && x.ordered == x.state.Applied.Generation
-	return !x.wantsOrder() && (landed || x.quiet(now))
+// canServe reports whether requests may run on the engine in its current
+// configuration. After a start it is not enough that the engine matches its row: the
+// row can be stale, and a newer order of the previous process may still arrive and
+// abort running requests. If the engine reports the last order of this process as
+// applied, no other order is in flight.
+func (x *Executor) canServe(now time.Time) bool {
+	applied := x.highestSent > 0 && x.highestSent == x.state.Applied.Generation
+	return !x.needsOrder() && (applied || x.noOrderInFlight(now))
 }
 
-// quiet reports whether no earlier order can land any more. A state read
-// before that moment does not count: the order may have landed since, and the
-// engine that looked ready would be in the middle of a change.
-func (x *Executor) quiet(now time.Time) bool {
-	return !now.Before(x.quietUntil) && !x.stateAsked.Before(x.quietUntil)
+// noOrderInFlight reports whether no earlier order can arrive any more. It requires
+// a state read after inFlightUntil: an order may have arrived since an earlier read,
+// and an engine that was ready then would be in the middle of a change.
+func (x *Executor) noOrderInFlight(now time.Time) bool {
+	return !now.Before(x.inFlightUntil) && !x.stateRequestedAt.Before(x.inFlightUntil)
 }
 
-// wantsOrder reports whether the row asks for an order. A row at or below what
-// the engine has taken is stale, whatever it says.
-func (x *Executor) wantsOrder() bool {
+// needsOrder reports whether the row requires an order. A row whose generation is
+// not above the one applied or fenced by the engine is stale and never requires one.
+func (x *Executor) needsOrder() bool {
 	return x.haveRow &&
-		!sameWork(x.row.Order(), x.state.Applied) &&
+		!sameConfiguration(x.row.Order(), x.state.Applied) &&
 		x.row.Generation > x.state.Applied.Generation &&
-		x.row.Generation > x.fenced
+		x.row.Generation > x.highestFenced
 }
 
 func (x *Executor) serve() []Effect {
@@ -255,33 +261,34 @@
 	return []Effect{Admit{Applied: x.state.Applied}}
 }
 
-// enter leaves Serving for a phase that admits nothing.
-func (x *Executor) enter(p Phase, why string) []Effect {
+// closeAdmission enters a phase in which no requests are admitted, and stops
+// admission if the phase was Serving.
+func (x *Executor) closeAdmission(p Phase, reason string) []Effect {
 	before := x.phase
 	x.phase = p
 	if before != Serving {
 		return nil
 	}
-	return []Effect{StopAdmitting{Reason: why}}
+	return []Effect{StopAdmitting{Reason: reason}}
 }
 
-// drain waits for running requests, then sends the order.
+// drain waits until no requests run and then sends the order.
 func (x *Executor) drain(now time.Time) []Effect {
 	effects := []Effect{}
 	if x.phase != Draining {
-		effects = x.enter(Draining, "the plan changes the engine: "+x.row.Reason)
+		effects = x.closeAdmission(Draining, "the plan changes the engine: "+x.row.Reason)
 		x.drainSince, x.handedOver = now, false
 	}
 	if x.running > 0 {
-		return append(effects, x.handOverIfLate(now)...)
+		return append(effects, x.handOverIfOverdue(now)...)
 	}
-	if !x.mayOrder(now) {
+	if !x.maySendOrder(now) {
 		return effects
 	}
 	return append(effects, x.send(now))
 }
 
-func (x *Executor) handOverIfLate(now time.Time) []Effect {
+func (x *Executor) handOverIfOverdue(now time.Time) []Effect {
 	if x.handedOver || now.Sub(x.drainSince) < x.config.DrainTimeout {
 		return nil
 	}
@@ -289,28 +296,28 @@
 	return []Effect{HandOver{}}
 }
 
-// mayOrder reports whether an order may be sent. An engine that checks the
-// fencing token takes the same generation twice as once, so the order of
-// unknown outcome may be repeated; any other order waits until that one can no
-// longer land.
-func (x *Executor) mayOrder(now time.Time) bool {
-	if now.Before(x.notBefore) || now.Before(x.started.Add(startGrace)) {
+// maySendOrder reports whether an order may be sent. An engine that checks the
+// fencing token handles a repeated generation idempotently, so an order of unknown
+// outcome may be sent again; any other order must wait until that one can no longer
+// arrive.
+func (x *Executor) maySendOrder(now time.Time) bool {
+	if now.Before(x.retryAt) || now.Before(x.started.Add(startGrace)) {
 		return false
 	}
-	repeats := x.config.ChecksFencingToken && x.row.Generation == x.ordered
-	return repeats || x.quiet(now)
+	repeats := x.config.ChecksFencingToken && x.row.Generation == x.highestSent
+	return repeats || x.noOrderInFlight(now)
 }
 
 func (x *Executor) send(now time.Time) Effect {
 	order := x.row.Order()
 	invariant.Check(x.outstanding == nil, "one order at a time",
-		"order %d while another is outstanding", order.Generation)
+		"order of generation %d sent while another is outstanding", order.Generation)
 	invariant.Check(x.running == 0, "no order cuts a request",
-		"order %d while %d requests run", order.Generation, x.running)
-	invariant.Check(order.Generation >= x.ordered && order.Generation > x.state.Applied.Generation,
-		"orders only rise", "order %d after %d", order.Generation, max(x.ordered, x.state.Applied.Generation))
+		"order of generation %d sent while %d requests run", order.Generation, x.running)
+	invariant.Check(order.Generation >= x.highestSent && order.Generation > x.state.Applied.Generation,
+		"orders only rise", "order of generation %d sent after generation %d", order.Generation, max(x.highestSent, x.state.Applied.Generation))
 	x.phase = Ordering
-	x.ordered = order.Generation
+	x.highestSent = order.Generation
 	x.outstanding = &sentOrder{order: order, at: now}
 	return SendOrder{Order: order}
 }
@@ -318,20 +325,20 @@
 func (x *Executor) readIfDue(now time.Time) []Effect {
 	interval := readInterval
 	if x.phase == Serving && x.haveState {
-		interval = serveReadInterval
+		interval = servingReadInterval
 	}
-	if x.reading {
+	if x.readInFlight {
 		interval = readTimeout
 	}
-	if now.Sub(x.askedAt) < interval {
+	if now.Sub(x.lastReadAt) < interval {
 		return nil
 	}
-	x.reading, x.askedAt = true, now
+	x.readInFlight, x.lastReadAt = true, now
 	return []Effect{ReadState{}}
 }
 
-// sameWork reports whether two orders make the same of an engine.
-func sameWork(a, b engine.Order) bool {
+// sameConfiguration reports whether two orders result in the same configuration.
+func sameConfiguration(a, b engine.Order) bool {
 	return a.Role == b.Role &&
 		a.Model == b.Model &&
 		a.Weights == b.Weights &&
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -30,156 +30,157 @@
 	step         = 50 * time.Millisecond
 )
 
-// flight is an order on its way to the engine.
-type flight struct {
+// inFlightOrder is an order that has not arrived at the engine yet.
+type inFlightOrder struct {
 	order   engine.Order
 	arrives time.Time
 	answer  error
 }
 
-// answeredRead is a state on its way back from the engine.
-type answeredRead struct {
+// inFlightRead is the result of a read that has not arrived at the Executor yet.
+type inFlightRead struct {
 	read    orders.StateRead
 	arrives time.Time
 }
 
-// bench is one Executor before one engine whose orders can be late or lost.
-type bench struct {
-	now     time.Time
-	x       *orders.Executor
-	checks  bool
-	state   engine.State
-	highest uint64
-	ready   time.Time
-	flights []flight
-	running int
-	admits  bool
-
-	// reads are answers on their way back; readDelay is the fate of the next.
-	reads     []answeredRead
-	readDelay time.Duration
-	// orderDelay and orderAnswer are the fate of the next order.
+// harness runs an Executor with a simulated engine whose orders can be delayed and
+// whose replies can be lost.
+type harness struct {
+	now               time.Time
+	executor          *orders.Executor
+	checksFencing     bool
+	state             engine.State
+	highestGeneration uint64
+	readyAt           time.Time
+	ordersInFlight    []inFlightOrder
+	running           int
+	admits            bool
+
+	// readDelay is the delay of the results of the next reads.
+	readsInFlight []inFlightRead
+	readDelay     time.Duration
+	// orderDelay and orderAnswer are the delay and the result of the next order.
 	orderDelay  time.Duration
 	orderAnswer error
 	violations  []string
 }
 
-func newBench(checks bool) *bench {
-	b := &bench{
-		now:    time.Unix(1000, 0),
-		checks: checks,
+func newHarness(checks bool) *harness {
+	h := &harness{
+		now:           time.Unix(1000, 0),
+		checksFencing: checks,
 		state: engine.State{
 			Incarnation: "a",
 			Ready:       true,
 			Applied:     engine.Order{Role: engine.RoleMixed, Model: "draft", Weights: "1"},
 		},
 	}
-	b.restart()
-	return b
+	h.restart()
+	return h
 }
 
-func (b *bench) restart() {
-	b.admits = false
-	b.x = orders.New(b.now, orders.Config{
-		ChecksFencingToken: b.checks,
+func (h *harness) restart() {
+	h.admits = false
+	h.executor = orders.New(h.now, orders.Config{
+		ChecksFencingToken: h.checksFencing,
 		OrderTimeout:       orderTimeout,
 		DrainTimeout:       time.Second,
 	})
 }
 
-func (b *bench) do(e orders.Event) {
-	for _, effect := range b.x.Step(b.now, e) {
-		b.carryOut(effect)
+func (h *harness) handle(e orders.Event) {
+	for _, effect := range h.executor.Step(h.now, e) {
+		h.perform(effect)
 	}
 }
 
-func (b *bench) carryOut(effect orders.Effect) {
+func (h *harness) perform(effect orders.Effect) {
 	switch effect := effect.(type) {
 	case orders.Admit:
-		b.admits = true
+		h.admits = true
 	case orders.StopAdmitting:
-		b.admits = false
+		h.admits = false
 	case orders.HandOver:
-		b.running = 0
-		b.do(orders.RunningRequests{})
+		h.running = 0
+		h.handle(orders.RunningRequests{})
 	case orders.ReadState:
-		read := orders.StateRead{Asked: b.now, State: b.state}
-		b.reads = append(b.reads, answeredRead{read: read, arrives: b.now.Add(b.readDelay)})
+		read := orders.StateRead{Asked: h.now, State: h.state}
+		h.readsInFlight = append(h.readsInFlight, inFlightRead{read: read, arrives: h.now.Add(h.readDelay)})
 	case orders.SendOrder:
-		b.flights = append(b.flights, flight{
+		h.ordersInFlight = append(h.ordersInFlight, inFlightOrder{
 			order:   effect.Order,
-			arrives: b.now.Add(b.orderDelay),
-			answer:  b.orderAnswer,
+			arrives: h.now.Add(h.orderDelay),
+			answer:  h.orderAnswer,
 		})
 	}
 }
 
-// advance passes one step of time.
-func (b *bench) advance() {
-	b.now = b.now.Add(step)
-	if b.state.Changing && !b.now.Before(b.ready) {
-		b.state.Changing, b.state.Ready = false, true
+// advance moves time forward by one step.
+func (h *harness) advance() {
+	h.now = h.now.Add(step)
+	if h.state.Changing && !h.now.Before(h.readyAt) {
+		h.state.Changing, h.state.Ready = false, true
 	}
-	for i := 0; i < len(b.flights); i++ {
-		if f := b.flights[i]; !b.now.Before(f.arrives) {
-			b.flights = append(b.flights[:i], b.flights[i+1:]...)
+	for i := 0; i < len(h.ordersInFlight); i++ {
+		if f := h.ordersInFlight[i]; !h.now.Before(f.arrives) {
+			h.ordersInFlight = append(h.ordersInFlight[:i], h.ordersInFlight[i+1:]...)
 			i--
-			b.arrive(f)
+			h.arrive(f)
 		}
 	}
-	for len(b.reads) > 0 && !b.now.Before(b.reads[0].arrives) {
-		read := b.reads[0].read
-		b.reads = b.reads[1:]
-		b.do(read)
+	for len(h.readsInFlight) > 0 && !h.now.Before(h.readsInFlight[0].arrives) {
+		read := h.readsInFlight[0].read
+		h.readsInFlight = h.readsInFlight[1:]
+		h.handle(read)
 	}
-	b.do(orders.Tick{})
+	h.handle(orders.Tick{})
 }
 
-func (b *bench) arrive(f flight) {
+func (h *harness) arrive(f inFlightOrder) {
 	answer := f.answer
 	switch {
-	case b.checks && f.order.Generation < b.highest:
+	case h.checksFencing && f.order.Generation < h.highestGeneration:
 		answer = engine.ErrFenced
-	case b.checks && f.order.Generation == b.highest:
-		// The same order again changes nothing.
+	case h.checksFencing && f.order.Generation == h.highestGeneration:
+		// A repeated order has no effect.
 	default:
-		b.take(f.order)
+		h.applyOrder(f.order)
 	}
-	b.do(orders.OrderAnswered{Generation: f.order.Generation, Err: answer})
+	h.handle(orders.OrderAnswered{Generation: f.order.Generation, Err: answer})
 }
 
-func (b *bench) take(o engine.Order) {
-	if o.Generation < b.highest {
-		b.violations = append(b.violations, "stale order")
+func (h *harness) applyOrder(o engine.Order) {
+	if o.Generation < h.highestGeneration {
+		h.violations = append(h.violations, "stale order")
 	}
-	if b.state.Changing {
-		b.violations = append(b.violations, "overlap")
+	if h.state.Changing {
+		h.violations = append(h.violations, "order during a change")
 	}
-	if b.running > 0 {
-		b.violations = append(b.violations, "cut")
+	if h.running > 0 {
+		h.violations = append(h.violations, "request aborted")
 	}
-	b.highest = max(b.highest, o.Generation)
-	b.state.Applied = o
-	b.state.Changing, b.state.Ready = true, false
-	b.ready = b.now.Add(changeTime)
+	h.highestGeneration = max(h.highestGeneration, o.Generation)
+	h.state.Applied = o
+	h.state.Changing, h.state.Ready = true, false
+	h.readyAt = h.now.Add(changeTime)
 }
 
-func (b *bench) advanceFor(d time.Duration) {
+func (h *harness) advanceFor(d time.Duration) {
 	for range d / step {
-		b.advance()
+		h.advance()
 	}
 }
 
-// killWithOrderInFlight replaces the Executor while the order of row 2 is on its
-// way to an engine that serves row 1.
-func (b *bench) killWithOrderInFlight() {
+// killWithOrderInFlight replaces the Executor while the order of row 2 is in flight
+// to an engine that serves row 1.
+func (h *harness) killWithOrderInFlight() {
 	GinkgoHelper()
-	b.do(orders.RowReceived{Row: row(1, engine.RoleMixed)})
-	b.advanceFor(orderTimeout + startMargin)
-	b.orderDelay = orderTimeout - step
-	b.do(orders.RowReceived{Row: row(2, engine.RoleDecode)})
-	Expect(b.flights).To(HaveLen(1))
-	b.restart()
+	h.handle(orders.RowReceived{Row: row(1, engine.RoleMixed)})
+	h.advanceFor(orderTimeout + startMargin)
+	h.orderDelay = orderTimeout - step
+	h.handle(orders.RowReceived{Row: row(2, engine.RoleDecode)})
+	Expect(h.ordersInFlight).To(HaveLen(1))
+	h.restart()
 }
 
 func row(generation uint64, role engine.Role) plan.Engine {
@@ -187,146 +188,146 @@
 }
 
 var _ = Describe("Executor", func() {
-	It("orders only once nothing runs any more", func() {
-		b := newBench(true)
-		b.do(orders.RowReceived{Row: row(1, engine.RoleMixed)})
-		b.advanceFor(orderTimeout + startMargin)
-		Expect(b.admits).To(BeTrue())
-
-		b.running = 1
-		b.do(orders.RunningRequests{Count: 1})
-		b.do(orders.RowReceived{Row: row(2, engine.RoleDecode)})
-		b.advanceFor(500 * time.Millisecond)
-		Expect(b.admits).To(BeFalse())
-		Expect(b.flights).To(BeEmpty())
-
-		b.running = 0
-		b.do(orders.RunningRequests{})
-		b.advanceFor(2 * time.Second)
-		Expect(b.state.Applied.Role).To(Equal(engine.RoleDecode))
-		Expect(b.admits).To(BeTrue())
+	It("sends an order only when no request runs any more", func() {
+		h := newHarness(true)
+		h.handle(orders.RowReceived{Row: row(1, engine.RoleMixed)})
+		h.advanceFor(orderTimeout + startMargin)
+		Expect(h.admits).To(BeTrue())
+
+		h.running = 1
+		h.handle(orders.RunningRequests{Count: 1})
+		h.handle(orders.RowReceived{Row: row(2, engine.RoleDecode)})
+		h.advanceFor(500 * time.Millisecond)
+		Expect(h.admits).To(BeFalse())
+		Expect(h.ordersInFlight).To(BeEmpty())
+
+		h.running = 0
+		h.handle(orders.RunningRequests{})
+		h.advanceFor(2 * time.Second)
+		Expect(h.state.Applied.Role).To(Equal(engine.RoleDecode))
+		Expect(h.admits).To(BeTrue())
 	})
 
-	// The answer to an order is lost and the order itself is still under way
-	// when the plan changes again. Sent at once, the second order could reach
-	// the engine first, and the engine would end up as the first one says:
-	// callers of the new model get errors from an engine that looks idle.
-	It("waits out an order of unknown outcome when the engine does not check", func() {
-		b := newBench(false)
-		b.do(orders.RowReceived{Row: row(1, engine.RoleMixed)})
-		b.advanceFor(orderTimeout)
-
-		b.orderDelay, b.orderAnswer = orderTimeout-step, engine.ErrInterrupted
-		b.do(orders.RowReceived{Row: row(2, engine.RoleDecode)})
-		b.do(orders.OrderAnswered{Generation: 2, Err: engine.ErrInterrupted})
-		b.orderDelay, b.orderAnswer = 0, nil
-		b.do(orders.RowReceived{Row: row(3, engine.RolePrefill)})
-		b.advanceFor(3 * orderTimeout)
-
-		Expect(b.violations).To(BeEmpty())
-		Expect(b.state.Applied.Generation).To(BeEquivalentTo(3))
-		Expect(b.admits).To(BeTrue())
+	// Guards against an outdated order taking effect last: the reply to an order is
+	// lost and the order is still in flight when the plan changes again. If the second
+	// order reaches the engine first, callers of the new model get errors from an
+	// engine that looks idle.
+	It("waits for an order of unknown outcome if the engine does not check the fencing token", func() {
+		h := newHarness(false)
+		h.handle(orders.RowReceived{Row: row(1, engine.RoleMixed)})
+		h.advanceFor(orderTimeout)
+
+		h.orderDelay, h.orderAnswer = orderTimeout-step, engine.ErrInterrupted
+		h.handle(orders.RowReceived{Row: row(2, engine.RoleDecode)})
+		h.handle(orders.OrderAnswered{Generation: 2, Err: engine.ErrInterrupted})
+		h.orderDelay, h.orderAnswer = 0, nil
+		h.handle(orders.RowReceived{Row: row(3, engine.RolePrefill)})
+		h.advanceFor(3 * orderTimeout)
+
+		Expect(h.violations).To(BeEmpty())
+		Expect(h.state.Applied.Generation).To(BeEquivalentTo(3))
+		Expect(h.admits).To(BeTrue())
 	})
 
-	// A sidecar is killed right after it sent an order, and its successor knows
-	// only an older plan. If it let requests in at once, the order would land
-	// and cut them.
-	It("admits nothing while an order of its predecessor may land", func() {
-		b := newBench(true)
-		b.killWithOrderInFlight()
+	// Guards against a late order aborting requests: a sidecar is killed right after it
+	// sent an order, and its successor has only an older plan and admits requests before
+	// the order has arrived.
+	It("admits no request while an order of its predecessor may arrive", func() {
+		h := newHarness(true)
+		h.killWithOrderInFlight()
 		for range (orderTimeout - 2*step) / step {
-			b.advance()
-			Expect(b.admits).To(BeFalse())
+			h.advance()
+			Expect(h.admits).To(BeFalse())
 		}
 	})
 
-	// The same, but the successor hears of an old plan that says just what the
-	// engine still is. It looks settled, and the order of its predecessor is on
-	// its way all the same.
-	It("does not take a stale row for the end of its predecessor's order", func() {
-		b := newBench(true)
-		b.killWithOrderInFlight()
-		b.do(orders.RowReceived{Row: row(1, engine.RoleMixed)})
+	// The same, but the successor receives an old plan that matches the engine's current
+	// configuration, while its predecessor's order is still in flight.
+	It("does not take a matching stale row for the end of its predecessor's order", func() {
+		h := newHarness(true)
+		h.killWithOrderInFlight()
+		h.handle(orders.RowReceived{Row: row(1, engine.RoleMixed)})
 		for range (orderTimeout - 2*step) / step {
-			b.advance()
-			Expect(b.admits).To(BeFalse())
+			h.advance()
+			Expect(h.admits).To(BeFalse())
 		}
 	})
 
-	// A relay that was cut off keeps sending an old plan.
-	It("ignores a row below one that it has seen", func() {
-		b := newBench(true)
-		b.do(orders.RowReceived{Row: row(5, engine.RoleDecode)})
-		b.do(orders.RowReceived{Row: row(4, engine.RolePrefill)})
-		b.advanceFor(3 * orderTimeout)
-		Expect(b.state.Applied.Generation).To(BeEquivalentTo(5))
+	// An entry that was disconnected continues to send an old plan.
+	It("ignores a row with a lower generation than an earlier one", func() {
+		h := newHarness(true)
+		h.handle(orders.RowReceived{Row: row(5, engine.RoleDecode)})
+		h.handle(orders.RowReceived{Row: row(4, engine.RolePrefill)})
+		h.advanceFor(3 * orderTimeout)
+		Expect(h.state.Applied.Generation).To(BeEquivalentTo(5))
 	})
 
-	// The engine crashes in the middle of a change and comes back as it was
-	// first installed. Without a fresh look at it, requests for the new model
-	// would go to an engine that does not have it.
-	It("orders again after the engine crashed part-way", func() {
-		b := newBench(false)
-		b.do(orders.RowReceived{Row: row(2, engine.RoleDecode)})
-		b.advanceFor(orderTimeout + startMargin)
-		Expect(b.state.Changing).To(BeTrue())
-
-		b.state = engine.State{Incarnation: "b", Ready: true, Applied: engine.Order{Role: engine.RoleMixed, Model: "draft", Weights: "1"}}
-		b.highest = 0
-		b.do(orders.EngineMayHaveCrashed{})
-		b.advanceFor(4 * orderTimeout)
-		Expect(b.state.Applied.Role).To(Equal(engine.RoleDecode))
-		Expect(b.admits).To(BeTrue())
+	// Guards against sending requests for a new model to an engine that does not have
+	// it: the engine crashes during a change and restarts in its initial configuration,
+	// and its state is not read again.
+	It("repeats the order after the engine crashed during the change", func() {
+		h := newHarness(false)
+		h.handle(orders.RowReceived{Row: row(2, engine.RoleDecode)})
+		h.advanceFor(orderTimeout + startMargin)
+		Expect(h.state.Changing).To(BeTrue())
+
+		h.state = engine.State{Incarnation: "b", Ready: true, Applied: engine.Order{Role: engine.RoleMixed, Model: "draft", Weights: "1"}}
+		h.highestGeneration = 0
+		h.handle(orders.EngineMayHaveCrashed{})
+		h.advanceFor(4 * orderTimeout)
+		Expect(h.state.Applied.Role).To(Equal(engine.RoleDecode))
+		Expect(h.admits).To(BeTrue())
 	})
 
-	// Rows, late and lost orders, running work and restarts in any order: the
-	// engine must never see overlapping or stale orders, nothing may be cut,
-	// and once the faults end the engine must be what the plan says.
-	It("holds its promises in random runs", func() {
+	// New and stale rows, late orders, lost replies and running requests in any
+	// sequence: the engine must never get overlapping or stale orders, no order may
+	// abort a request, and after the faults the engine must match the plan.
+	It("keeps its invariants in random runs", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			b := newBench(rapid.Bool().Draw(t, "checks"))
+			h := newHarness(rapid.Bool().Draw(t, "checks"))
 			generation := uint64(1)
 			roles := []engine.Role{engine.RoleMixed, engine.RolePrefill, engine.RoleDecode}
 			last := row(generation, engine.RoleMixed)
-			b.do(orders.RowReceived{Row: last})
+			h.handle(orders.RowReceived{Row: last})
 			t.Repeat(map[string]func(*rapid.T){
-				"advance": func(t *rapid.T) { b.advanceFor(step * time.Duration(rapid.IntRange(1, 60).Draw(t, "steps"))) },
+				"advance": func(t *rapid.T) { h.advanceFor(step * time.Duration(rapid.IntRange(1, 60).Draw(t, "steps"))) },
 				"row": func(t *rapid.T) {
 					generation++
 					last = row(generation, rapid.SampledFrom(roles).Draw(t, "role"))
-					b.do(orders.RowReceived{Row: last})
+					h.handle(orders.RowReceived{Row: last})
 				},
-				"stale row": func(*rapid.T) { b.do(orders.RowReceived{Row: row(1, engine.RoleMixed)}) },
+				"stale row": func(*rapid.T) { h.handle(orders.RowReceived{Row: row(1, engine.RoleMixed)}) },
 				"work": func(t *rapid.T) {
-					if b.admits {
-						b.running = rapid.IntRange(0, 2).Draw(t, "running")
-						b.do(orders.RunningRequests{Count: b.running})
+					if h.admits {
+						h.running = rapid.IntRange(0, 2).Draw(t, "running")
+						h.handle(orders.RunningRequests{Count: h.running})
 					}
 				},
 				"finish": func(*rapid.T) {
-					b.running = 0
-					b.do(orders.RunningRequests{})
+					h.running = 0
+					h.handle(orders.RunningRequests{})
 				},
-				"fate": func(t *rapid.T) {
-					b.readDelay = rapid.SampledFrom([]time.Duration{0, 4 * step}).Draw(t, "read delay")
-					b.orderDelay = rapid.SampledFrom([]time.Duration{0, step, orderTimeout - step}).Draw(t, "delay")
-					b.orderAnswer = rapid.SampledFrom([]error{nil, engine.ErrInterrupted}).Draw(t, "answer")
+				"faults": func(t *rapid.T) {
+					h.readDelay = rapid.SampledFrom([]time.Duration{0, 4 * step}).Draw(t, "read delay")
+					h.orderDelay = rapid.SampledFrom([]time.Duration{0, step, orderTimeout - step}).Draw(t, "delay")
+					h.orderAnswer = rapid.SampledFrom([]error{nil, engine.ErrInterrupted}).Draw(t, "answer")
 				},
 				"": func(t *rapid.T) {
-					if len(b.violations) > 0 {
-						t.Fatalf("violations: %v", b.violations)
+					if len(h.violations) > 0 {
+						t.Fatalf("violations: %v", h.violations)
 					}
 				},
 			})
-			b.orderDelay, b.orderAnswer, b.readDelay, b.running = 0, nil, 0, 0
-			b.do(orders.RunningRequests{})
-			b.advanceFor(6 * orderTimeout)
-			if b.state.Applied.Role != last.Role || !b.admits {
-				t.Fatalf("row %+v, engine %+v, admits %v", last, b.state, b.admits)
+			h.orderDelay, h.orderAnswer, h.readDelay, h.running = 0, nil, 0, 0
+			h.handle(orders.RunningRequests{})
+			h.advanceFor(6 * orderTimeout)
+			if h.state.Applied.Role != last.Role || !h.admits {
+				t.Fatalf("row %+v, engine %+v, admits %v", last, h.state, h.admits)
 			}
 		})
 	})
 })
 
-// startMargin lies between the start grace and the end of a change.
+// startMargin is such that orderTimeout plus startMargin is longer than the start
+// grace, but ends before a change that starts then has finished.
 const startMargin = 200 * time.Millisecond
--- a/internal/reconcile/model_test.go
+++ b/internal/reconcile/model_test.go
@@ -19,44 +19,46 @@
 	"pistachioroad.dev/pistachioroad/internal/store"
 )
 
-// The model's times. A grant and the gap after it are those of a deployment
-// whose operators want three seconds between two holders.
+// Parameters of the model. The grant and the gap are those of a deployment that
+// requires three seconds between the orders of two holders.
 const (
-	modelStep  = time.Second
-	modelSteps = 40
-	modelValid = 4 * time.Second
-	modelGap   = 4200 * time.Millisecond
-	turnGap    = 3 * time.Second
-	changeTime = 3 * time.Second
-	// lateBy is how much later a delayed write or order takes effect.
-	lateBy = 5 * time.Second
-	// slowFor and frozenFor are how many steps a process stands still: within its
-	// grant, and just under the time until another may take the lease.
-	slowFor   = 2
-	frozenFor = 8
+	modelStep      = time.Second
+	modelSteps     = 40
+	modelValid     = 4 * time.Second
+	modelGap       = 4200 * time.Millisecond
+	minHandoverGap = 3 * time.Second
+	changeTime     = 3 * time.Second
+	// executionDelay is the delay of a write or order that takes effect late.
+	executionDelay = 5 * time.Second
+	// shortStallSteps and longStallSteps are how many steps a process stalls: for
+	// less than its grant, and for just less than the time until another process
+	// may take the lease.
+	shortStallSteps = 2
+	longStallSteps  = 8
 )
 
-// fate is what becomes of one call.
-type fate int
+// fault is what goes wrong in one call.
+type fault int
 
 const (
-	fine fate = iota
-	refused
+	noFault fault = iota
+	rejected
 	replyLost
-	carriedOutLate
-	// otherFirst lets the other gateway make a step before the call, slow and
-	// frozen several while time passes.
-	otherFirst
-	slow
-	frozen
-	fates
+	executedLate
+	// otherGatewayFirst lets the other gateway make a step before the call;
+	// shortStall and longStall let it make several while time passes.
+	otherGatewayFirst
+	shortStall
+	longStall
+	faultCount
 )
 
-// choices makes the choices of one run: those given, then the first of each.
+// choices makes the choices of one run: the given ones, then always the first
+// option. Option 0 is the fault-free one.
 type choices struct {
-	given []int
-	made  []int
-	among []int
+	given   []int
+	made    []int
+	options []int
 }
 
 func (c *choices) choose(n int) int {
@@ -65,15 +67,16 @@
 		choice = c.given[at]
 	}
 	c.made = append(c.made, choice)
-	c.among = append(c.among, n)
+	c.options = append(c.options, n)
 	return choice
 }
 
-// next returns the choices of the run after this one, in which at most a number
-// of choices are not the first one; false after the last run.
-func (c *choices) next(most int) (*choices, bool) {
+// next returns the choices of the next run in depth-first order. At most
+// maxDeviations of them are not the first option. It returns false after the last
+// run.
+func (c *choices) next(maxDeviations int) (*choices, bool) {
 	for i := len(c.made) - 1; i >= 0; i-- {
-		if c.made[i]+1 < c.among[i] && deviations(c.made[:i]) < most {
+		if c.made[i]+1 < c.options[i] && deviations(c.made[:i]) < maxDeviations {
 			given := append([]int(nil), c.made[:i+1]...)
 			given[i]++
 			return &choices{given: given}, true
@@ -82,6 +85,7 @@
 	return nil, false
 }
 
+// deviations returns the number of choices that are not the first option.
 func deviations(made []int) int {
 	n := 0
 	for _, choice := range made {
@@ -92,40 +96,41 @@
 	return n
 }
 
-// arrival is an order as an engine gets it.
+// arrival is an order received by an engine.
 type arrival struct {
 	holder string
 	fence  int64
 	at     time.Duration
 }
 
-// orderModel is two gateways that both believe to be the first, the store with
-// their lease, and engines.
+// orderModel simulates two gateways that both have rank 0, the store with their
+// lease, and the engines.
 type orderModel struct {
 	*choices
-	now     time.Duration
-	lease   store.Object
-	written int64
-	pending []pendingAct
-	engines map[string]*modelEngine
-	views   map[string]*directory.View
-	// seen is the view of both gateways.
-	seen *directory.View
-	// acting is set while the other gateway acts within a call of the first.
-	acting   bool
-	gateways []*reconcile.Reconciler
-	arrivals []arrival
+	now         time.Duration
+	lease       store.Object
+	leaseWrites int64
+	delayed     []delayedAction
+	engines     map[string]*modelEngine
+	views       map[string]*directory.View
+	// currentView is the view of both gateways.
+	currentView *directory.View
+	// otherActing is set while one gateway makes steps during a call of the other;
+	// no faults are chosen then.
+	otherActing bool
+	gateways    []*reconcile.Reconciler
+	arrivals    []arrival
 }
 
-type pendingAct struct {
+type delayedAction struct {
 	at time.Duration
 	do func()
 }
 
 type modelEngine struct {
-	state   backend.EngineState
-	fence   int64
-	changed time.Duration
+	state         backend.EngineState
+	fence         int64
+	changingUntil time.Duration
 }
 
 var errNoAnswer = errors.New("no answer")
@@ -139,12 +144,12 @@
 		}
 		m.engines["e"+strconv.Itoa(n)] = &modelEngine{state: backend.EngineState{Role: role}}
 	}
-	m.look()
+	m.refreshView()
 	for n := range 2 {
 		name := "f-" + strconv.Itoa(n)
 		m.gateways = append(m.gateways, reconcile.New(reconcile.Config{
 			Holder:             name,
-			View:               func() *directory.View { return m.seen },
+			View:               func() *directory.View { return m.currentView },
 			Rank:               func() int { return 0 },
 			InFlight:           func(string, string) int { return 0 },
 			Speed:              func(string, string) roles.Speed { return roles.Speed{} },
@@ -162,8 +167,8 @@
 	return m
 }
 
-// look lets the gateways see the engines' roles as they are.
-func (m *orderModel) look() {
+// refreshView updates the gateways' view to the current roles of the engines.
+func (m *orderModel) refreshView() {
 	key := ""
 	snapshot := directory.Snapshot{Config: store.Object{Name: "main", Revision: 1}}
 	for n := range len(m.engines) {
@@ -178,18 +183,18 @@
 		d.Adopt(time.Unix(0, 0), snapshot)
 		m.views[key] = d.View()
 	}
-	m.seen = m.views[key]
+	m.currentView = m.views[key]
 }
 
-// run plays the whole model. What the store shows of the engines is as old as
-// the first choice says.
+// run runs the model. The first choice determines how often the gateways' view is
+// refreshed.
 func (m *orderModel) run() {
 	lag := []int{1, 12}[m.choose(2)]
 	for step := range modelSteps {
 		if step%lag == 0 {
-			m.look()
+			m.refreshView()
 		}
-		m.pass(modelStep)
+		m.advance(modelStep)
 		for n := range m.gateways {
 			m.step(n)
 		}
@@ -200,54 +205,54 @@
 	m.gateways[gateway].Step(context.Background(), time.Unix(0, 0).Add(m.now))
 }
 
-func (m *orderModel) pass(d time.Duration) {
+func (m *orderModel) advance(d time.Duration) {
 	m.now += d
-	due := m.pending
-	m.pending = nil
+	due := m.delayed
+	m.delayed = nil
 	for _, p := range due {
 		if p.at <= m.now {
 			p.do()
 			continue
 		}
-		m.pending = append(m.pending, p)
+		m.delayed = append(m.delayed, p)
 	}
 }
 
 func (m *orderModel) later(do func()) {
-	m.pending = append(m.pending, pendingAct{at: m.now + lateBy, do: do})
+	m.delayed = append(m.delayed, delayedAction{at: m.now + executionDelay, do: do})
 }
 
-// fate chooses what becomes of a call of a gateway, and lets the other gateway
-// act before it.
-func (m *orderModel) fate(gateway int, most fate) fate {
-	if m.acting {
-		return fine
+// drawFault chooses the fault of a gateway's call among those below limit. For a
+// fault that delays the call, it runs the other gateway and returns noFault.
+func (m *orderModel) drawFault(gateway int, limit fault) fault {
+	if m.otherActing {
+		return noFault
 	}
-	f := fate(m.choose(int(most)))
-	m.acting = true
-	defer func() { m.acting = false }()
+	f := fault(m.choose(int(limit)))
+	m.otherActing = true
+	defer func() { m.otherActing = false }()
 	switch f {
-	case otherFirst:
+	case otherGatewayFirst:
 		m.step(1 - gateway)
-	case slow:
-		m.standStill(gateway, slowFor)
-	case frozen:
-		m.standStill(gateway, frozenFor)
+	case shortStall:
+		m.stall(gateway, shortStallSteps)
+	case longStall:
+		m.stall(gateway, longStallSteps)
 	default:
 		return f
 	}
-	return fine
+	return noFault
 }
 
-// standStill lets time pass and the other gateway go on.
-func (m *orderModel) standStill(gateway, steps int) {
+// stall advances time and runs the other gateway.
+func (m *orderModel) stall(gateway, steps int) {
 	for range steps {
-		m.pass(modelStep)
+		m.advance(modelStep)
 		m.step(1 - gateway)
 	}
 }
 
-// modelStore is the store as one gateway reaches it.
+// modelStore is the store, as accessed by one gateway.
 type modelStore struct {
 	store.Store
 	model   *orderModel
@@ -256,10 +261,10 @@
 
 func (s modelStore) Get(context.Context, string, string) (store.Object, error) {
 	m := s.model
-	switch m.fate(s.gateway, fates) {
-	case refused:
+	switch m.drawFault(s.gateway, faultCount) {
+	case rejected:
 		return store.Object{}, store.ErrRefused
-	case replyLost, carriedOutLate:
+	case replyLost, executedLate:
 		return store.Object{}, errNoAnswer
 	}
 	if m.lease.Revision == 0 {
@@ -284,78 +289,80 @@
 		if m.lease.Revision != revision {
 			return store.ErrConflict
 		}
-		m.written++
-		m.lease = store.Object{Name: "orders", Revision: m.written, Spec: data}
+		m.leaseWrites++
+		m.lease = store.Object{Name: "orders", Revision: m.leaseWrites, Spec: data}
 		return nil
 	}
-	switch m.fate(s.gateway, fates) {
-	case refused:
+	switch m.drawFault(s.gateway, faultCount) {
+	case rejected:
 		return store.Object{}, store.ErrRefused
 	case replyLost:
 		_ = apply()
 		return store.Object{}, errNoAnswer
-	case carriedOutLate:
+	case executedLate:
 		m.later(func() { _ = apply() })
 		return store.Object{}, errNoAnswer
 	}
 	return m.lease, apply()
 }
 
-// modelEngines are the engines as one gateway reaches them.
+// modelEngines are the engines, as accessed by one gateway.
 type modelEngines struct {
 	model   *orderModel
 	gateway int
 }
 
 func (e modelEngines) State(_ context.Context, s backend.Server) (backend.EngineState, error) {
-	switch e.model.fate(e.gateway, fates) {
-	case refused, replyLost, carriedOutLate:
+	switch e.model.drawFault(e.gateway, faultCount) {
+	case rejected, replyLost, executedLate:
 		return backend.EngineState{}, errNoAnswer
 	}
 	engine := e.model.engines[s.ID]
 	state := engine.state
-	state.Changing = engine.changed > e.model.now
+	state.Changing = engine.changingUntil > e.model.now
 	return state, nil
 }
 
-// Order has an order arrive. A process that stands still between its last look
-// at its grant and the arrival cannot know it; the fencing token is for that.
+// Order delivers an order. Its faults do not include delays before the call: a
+// process cannot notice a delay between the last check of its grant and the arrival
+// of the order; the fencing token covers that case.
 func (e modelEngines) Order(_ context.Context, s backend.Server, o backend.Order) (backend.OrderResult, error) {
 	m := e.model
-	f := m.fate(e.gateway, otherFirst)
-	if f == refused {
+	f := m.drawFault(e.gateway, otherGatewayFirst)
+	if f == rejected {
 		return backend.OrderRejected, nil
 	}
 	m.arrivals = append(m.arrivals, arrival{holder: o.Holder, fence: o.Fence, at: m.now})
 	engine := m.engines[s.ID]
 	switch f {
 	case replyLost:
-		engine.carryOut(m.now, o)
+		engine.execute(m.now, o)
 		return backend.OrderUnknown, errNoAnswer
-	case carriedOutLate:
-		m.later(func() { engine.carryOut(m.now, o) })
+	case executedLate:
+		m.later(func() { engine.execute(m.now, o) })
 		return backend.OrderUnknown, errNoAnswer
 	}
-	return engine.carryOut(m.now, o), nil
+	return engine.execute(m.now, o), nil
 }
 
-func (e *modelEngine) carryOut(now time.Duration, o backend.Order) backend.OrderResult {
-	if o.Fence < e.fence || o.Expect != e.state.Orders || e.changed > now {
+func (e *modelEngine) execute(now time.Duration, o backend.Order) backend.OrderResult {
+	if o.Fence < e.fence || o.Expect != e.state.Orders || e.changingUntil > now {
 		return backend.OrderRejected
 	}
 	e.fence = o.Fence
 	e.state.Orders++
 	e.state.Role = o.Role
-	e.changed = now + changeTime
+	e.changingUntil = now + changeTime
 	return backend.OrderAccepted
 }
 
-// check looks at the orders as the engines got them.
+// check checks the orders in the sequence in which the engines received them. It
+// returns the rule that is violated, if any.
 func (m *orderModel) check() string {
 	holders := map[int64]string{}
 	for i, a := range m.arrivals {
 		if h, ok := holders[a.fence]; ok && h != a.holder {
-			return "two holders with one fencing token"
+			return "two holders used the same fencing token"
 		}
 		holders[a.fence] = a.holder
 		if i == 0 {
@@ -363,36 +370,36 @@
 		}
 		before := m.arrivals[i-1]
 		if a.fence < before.fence {
-			return "a lower fencing token after a higher one"
+			return "a fencing token was lower than an earlier one"
 		}
-		if a.holder != before.holder && a.at-before.at < turnGap {
-			return "two holders within " + turnGap.String()
+		if a.holder != before.holder && a.at-before.at < minHandoverGap {
+			return "two holders sent orders within " + minHandoverGap.String()
 		}
 	}
 	return ""
 }
 
 var _ = Describe("orders, in all runs with up to three faults", func() {
-	// Two gateways both believe to be the first to give orders. Calls of the
-	// store and of engines are refused, lose their answers or take effect late,
-	// and one gateway stands still for longer than its grant while the other
-	// goes on. An engine with two masters changes to and fro and serves nobody.
-	It("come from one holder at a time, with growing fencing tokens", func() {
+	// Guards against an engine that gets orders from two holders, switches back and
+	// forth and serves no request: two gateways both have rank 0; calls of the
+	// store and of engines are rejected, lose their replies or take effect late;
+	// and one gateway stalls for longer than its grant while the other continues.
+	It("come from one holder at a time, with increasing fencing tokens", func() {
 		log.SetLevel(log.FatalLevel)
 		DeferCleanup(log.SetLevel, log.InfoLevel)
-		const most = 3
+		const maxDeviations = 3
 		views := map[string]*directory.View{}
-		runs, turns := 0, 0
-		for c, ok := (&choices{}), true; ok; c, ok = c.next(most) {
+		runs, handovers := 0, 0
+		for c, ok := (&choices{}), true; ok; c, ok = c.next(maxDeviations) {
 			m := newOrderModel(c, views)
 			m.run()
 			runs++
 			Expect(m.check()).To(BeEmpty(), "choices %v, orders %v", c.made, m.arrivals)
 			if len(m.arrivals) > 0 && m.arrivals[0].holder != m.arrivals[len(m.arrivals)-1].holder {
-				turns++
+				handovers++
 			}
 		}
 		Expect(runs).To(BeNumerically(">", 5_000))
-		Expect(turns).To(BeNumerically(">", 100), "runs in which both gave orders")
+		Expect(handovers).To(BeNumerically(">", 100), "runs in which both gateways sent orders")
 	})
 })
--- a/internal/reconcile/reconcile.go
+++ b/internal/reconcile/reconcile.go
@@ -1,10 +1,10 @@
-// Package reconcile keeps the engines in their roles.
+// Package reconcile keeps the engines in their planned roles.
 //
-// Any gateway may give orders, one at a time: the one that holds the lease. An
-// order names the engine's start, its count of orders so far and the lease's
-// fencing token, so an order that is carried out late changes nothing once
-// another one has been accepted. One of unknown outcome is read back from the
-// engine before the next one is sent.
+// Any gateway may send orders, but only one at a time: the one that holds the
+// lease. An order carries the engine's instance ID, the number of orders that the
+// engine has accepted so far and the lease's fencing token, so an order that
+// arrives late has no effect once another one has been accepted. After an order
+// of unknown outcome, the engine's state is read before the next order is sent.
 package reconcile
 
 import (
@@ -25,72 +25,80 @@
 )
 
 const (
-	// every is how often the roles are looked at.
-	every = 500 * time.Millisecond
-	// settle is how long a need must last: engines that start together
-	// register within it, and one that crashes is often back.
-	settle = 2 * time.Second
-	// rankDelay is how much longer each further gateway waits before it tries:
-	// longer than the first takes to act and its orders to show in the store.
+	// interval is the time between two checks of the roles.
+	interval = 500 * time.Millisecond
+	// stabilizationDelay is how long changes must be needed before they are made.
+	// Engines that start together register within it, and an engine that crashed
+	// has often restarted.
+	stabilizationDelay = 2 * time.Second
+	// rankDelay is the additional delay per rank before a gateway acts. It is
+	// longer than a gateway takes to act and its orders take to show in the store.
 	rankDelay = 9 * time.Second
-	// orderTime is the least validity of a grant that an order needs: the call
-	// takes up to 0.8 s.
-	orderTime = time.Second
-	// rest is how long an engine is left alone after an order: it is away for
-	// some seconds, and its entry shows the new role a heartbeat later.
-	rest = 10 * time.Second
-	// showTime is how much longer than its change an engine's entry takes to
-	// show the new role: a heartbeat and the store's way here.
-	showTime = 1500 * time.Millisecond
+	// minGrantRemaining is the remaining validity of a grant that is required to
+	// send an order: the call takes up to 0.8 s.
+	minGrantRemaining = time.Second
+	// orderCooldown is the minimum time between two orders to one engine: it is
+	// unavailable for some seconds while it changes, and its registration shows
+	// the new role one heartbeat later.
+	orderCooldown = 10 * time.Second
+	// roleVisibleDelay is the time from the end of a change until the gateways see
+	// the new role: one heartbeat and the latency of the store.
+	roleVisibleDelay = 1500 * time.Millisecond
 )
 
-// Engines gives orders to engines.
+// Engines reads the state of engines and sends them orders.
 type Engines interface {
 	State(ctx context.Context, s backend.Server) (backend.EngineState, error)
 	Order(ctx context.Context, s backend.Server, o backend.Order) (backend.OrderResult, error)
 }
 
-// Leaser grants the right to give orders.
+// Leaser grants the right to send orders.
 type Leaser interface {
 	Acquire(ctx context.Context) (lease.Grant, error)
 }
 
-// Config is what a Reconciler is made of.
+// Config configures a Reconciler.
 type Config struct {
-	// Holder is this VM's name.
+	// Holder is the name of this VM.
 	Holder string
 	View   func() *directory.View
-	// Rank is this gateway's place among those that may give orders, 0 first.
+	// Rank returns this gateway's position among those that may send orders; 0 acts
+	// first.
 	Rank func() int
-	// Busy returns the work at an engine; any work at all means that few changes
-	// are made together.
+	// InFlight returns the number of requests at an engine. If it is positive for
+	// any engine of a service, only few of them are changed at the same time.
 	InFlight func(service, engine string) int
-	// Pace returns how slow an engine is.
+	// Speed returns the speed of an engine relative to the others.
 	Speed func(service, engine string) roles.Speed
-	// Limited reports whether a server takes few requests only: it does not count as one
-	// that serves its role.
+	// Limited reports whether a server accepts only few requests. It then does not
+	// count as serving its role.
 	Limited func(server string) bool
-	// Misses returns the part of a service's answers, by length, that is expected to
-	// miss its deadline; false while that is not known.
+	// ExpectedMissRate returns the fraction of a service's answers, weighted by
+	// length, that is expected to miss its deadline; false if it is unknown.
 	ExpectedMissRate func(service string) (float64, bool)
-	// Requests returns how many requests of a service all gateways have placed.
+	// PlacedRequests returns the number of requests of a service that all gateways
+	// have placed.
 	PlacedRequests func(service string) int64
-	// Away is told of an engine that is about to change its role.
+	// RoleChangeStarting is called before an engine is ordered to change its role,
+	// with the expected time until the new role is visible.
 	RoleChangeStarting func(service, engine string, d time.Duration)
 	Engines            Engines
 	Lease              Leaser
 }
 
-// Reconciler keeps engines in their roles. Its methods are for one goroutine.
+// Reconciler keeps engines in their planned roles. It is not safe for concurrent
+// use.
 type Reconciler struct {
 	config Config
-	// needed is since when a change has been wanted.
-	needed time.Time
-	// ordered is when an engine was last sent an order.
-	ordered map[string]time.Time
-	// made counts the orders of this process that may have been carried out, by
-	// service.
-	made map[string]int
+	// neededSince is since when changes have been needed without interruption; zero
+	// if none are.
+	neededSince time.Time
+	// lastOrder is when each engine was last sent an order, or was last found in a
+	// state that rules one out.
+	lastOrder map[string]time.Time
+	// orderCount is the number of orders of this process, by service, that may have
+	// been carried out.
+	orderCount map[string]int
 
 	accepted, rejected, unknown metrics.Counter
 }
@@ -98,32 +106,32 @@
 // New returns a Reconciler.
 func New(c Config) *Reconciler {
 	return &Reconciler{
-		config:   c,
-		ordered:  make(map[string]time.Time),
-		made:     make(map[string]int),
-		accepted: metrics.GetOrRegisterCounter("reconcile.orders_accepted", nil),
-		rejected: metrics.GetOrRegisterCounter("reconcile.orders_rejected", nil),
-		unknown:  metrics.GetOrRegisterCounter("reconcile.orders_unknown", nil),
+		config:     c,
+		lastOrder:  make(map[string]time.Time),
+		orderCount: make(map[string]int),
+		accepted:   metrics.GetOrRegisterCounter("reconcile.orders_accepted", nil),
+		rejected:   metrics.GetOrRegisterCounter("reconcile.orders_rejected", nil),
+		unknown:    metrics.GetOrRegisterCounter("reconcile.orders_unknown", nil),
 	}
 }
 
 // Run reconciles until ctx ends.
 func (r *Reconciler) Run(ctx context.Context) error {
-	return periodic.Run(ctx, every, func(now time.Time) { r.Step(ctx, now) })
+	return periodic.Run(ctx, interval, func(now time.Time) { r.Step(ctx, now) })
 }
 
-// Step looks at the roles once, and gives the orders that are due.
+// Step checks the roles once and sends the orders that are due.
 func (r *Reconciler) Step(ctx context.Context, now time.Time) {
 	view := r.config.View()
-	moves := r.wanted(view, now)
-	if len(moves) == 0 {
-		r.needed = time.Time{}
+	changes := r.dueChanges(view, now)
+	if len(changes) == 0 {
+		r.neededSince = time.Time{}
 		return
 	}
-	if r.needed.IsZero() {
-		r.needed = now
+	if r.neededSince.IsZero() {
+		r.neededSince = now
 	}
-	if now.Sub(r.needed) < settle+time.Duration(r.config.Rank())*rankDelay {
+	if now.Sub(r.neededSince) < stabilizationDelay+time.Duration(r.config.Rank())*rankDelay {
 		return
 	}
 	grant, err := r.config.Lease.Acquire(ctx)
@@ -131,43 +139,43 @@
 		return
 	}
 	if err != nil {
-		log.WithField("error", err.Error()).Warn("lease for orders not acquired")
+		log.WithField("error", err.Error()).Warn("could not acquire the lease for orders")
 		return
 	}
-	log.WithField("fence", grant.Fence).WithField("moves", len(moves)).Info("lease for orders acquired")
-	for _, m := range moves {
-		if !r.move(ctx, now, view, m, grant) {
+	log.WithField("fence", grant.Fence).WithField("moves", len(changes)).Info("lease for orders acquired")
+	for _, change := range changes {
+		if !r.sendOrder(ctx, now, view, change, grant) {
 			return
 		}
 	}
 }
 
-// wanted returns the changes to make now.
-func (r *Reconciler) wanted(view *directory.View, now time.Time) []roles.RoleChange {
+// dueChanges returns the role changes to make now.
+func (r *Reconciler) dueChanges(view *directory.View, now time.Time) []roles.RoleChange {
 	if view.Table == nil {
 		return nil
 	}
-	maps.DeleteFunc(r.ordered, func(_ string, at time.Time) bool { return now.Sub(at) >= rest })
+	maps.DeleteFunc(r.lastOrder, func(_ string, at time.Time) bool { return now.Sub(at) >= orderCooldown })
 	var all []roles.RoleChange
 	for name, service := range view.Table.Services {
 		if service.Engine == nil {
 			continue
 		}
 		engines, busy := r.engines(view, name)
-		moves := roles.Decide(engines, roles.DecodeShare(engines, r.answers(view, name)))
-		moves = slices.DeleteFunc(moves, func(m roles.RoleChange) bool { return now.Sub(r.ordered[m.ID]) < rest })
-		if busy && r.resting(engines, now) {
+		changes := roles.Decide(engines, roles.DecodeShare(engines, r.answerStats(view, name)))
+		changes = slices.DeleteFunc(changes, func(c roles.RoleChange) bool { return now.Sub(r.lastOrder[c.ID]) < orderCooldown })
+		if busy && r.anyCoolingDown(engines, now) {
 			continue
 		}
 		if busy {
-			moves = roles.LimitConcurrent(engines, moves)
+			changes = roles.LimitConcurrent(engines, changes)
 		}
-		all = append(all, roles.LimitByDemand(engines, moves, r.config.PlacedRequests(name), r.made[name])...)
+		all = append(all, roles.LimitByDemand(engines, changes, r.config.PlacedRequests(name), r.orderCount[name])...)
 	}
 	return all
 }
 
-func (r *Reconciler) answers(view *directory.View, service string) roles.AnswerStats {
+func (r *Reconciler) answerStats(view *directory.View, service string) roles.AnswerStats {
 	a := roles.AnswerStats{MaxEvents: view.Table.MaxAnswerEvents(service)}
 	a.ExpectedMissRate, a.MissRateKnown = r.config.ExpectedMissRate(service)
 	return a
@@ -178,56 +186,58 @@
 		if s.Role == backend.NoRole || r.config.Limited(s.ID) {
 			continue
 		}
-		work := r.config.InFlight(service, s.ID)
-		busy = busy || work > 0
-		list = append(list, roles.Engine{ID: s.ID, DataCentre: s.DataCentre, Role: s.Role, InFlight: work, Speed: r.config.Speed(service, s.ID)})
+		inFlight := r.config.InFlight(service, s.ID)
+		busy = busy || inFlight > 0
+		list = append(list, roles.Engine{ID: s.ID, DataCentre: s.DataCentre, Role: s.Role, InFlight: inFlight, Speed: r.config.Speed(service, s.ID)})
 	}
 	return list, busy
 }
 
-// resting reports whether an engine is still away for an order.
-func (r *Reconciler) resting(engines []roles.Engine, now time.Time) bool {
+// anyCoolingDown reports whether any of the engines is within its cooldown after
+// an order.
+func (r *Reconciler) anyCoolingDown(engines []roles.Engine, now time.Time) bool {
 	for _, e := range engines {
-		if now.Sub(r.ordered[e.ID]) < rest {
+		if now.Sub(r.lastOrder[e.ID]) < orderCooldown {
 			return true
 		}
 	}
 	return false
 }
 
-// move sends one order. It returns false if the grant allows no more.
-func (r *Reconciler) move(ctx context.Context, now time.Time, view *directory.View, m roles.RoleChange, g lease.Grant) bool {
-	server, ok := view.Servers[m.ID]
+// sendOrder orders one role change, unless the engine's state rules it out. It
+// returns false if the grant is too close to its end for further orders.
+func (r *Reconciler) sendOrder(ctx context.Context, now time.Time, view *directory.View, change roles.RoleChange, g lease.Grant) bool {
+	server, ok := view.Servers[change.ID]
 	if !ok {
 		return true
 	}
 	state, err := r.config.Engines.State(ctx, server)
-	if err != nil || state.Changing || state.Role == m.Role {
-		r.ordered[m.ID] = now
-		log.WithField("engine", m.ID).WithField("error", errorText(err)).Info("no order: the engine is changing, changed or silent")
+	if err != nil || state.Changing || state.Role == change.Role {
+		r.lastOrder[change.ID] = now
+		log.WithField("engine", change.ID).WithField("error", errorText(err)).Info("no order sent: the engine is changing, has the role already or did not report its state")
 		return true
 	}
-	if g.Remaining() < orderTime {
-		log.WithField("engine", m.ID).Info("no order: the lease is about to end")
+	if g.Remaining() < minGrantRemaining {
+		log.WithField("engine", change.ID).Info("no order sent: the lease is about to expire")
 		return false
 	}
-	r.ordered[m.ID] = now
+	r.lastOrder[change.ID] = now
 	if service := view.Table.Services[server.Service]; service.Engine != nil {
-		r.config.RoleChangeStarting(server.Service, m.ID, service.Engine.SwitchTime+showTime)
+		r.config.RoleChangeStarting(server.Service, change.ID, service.Engine.SwitchTime+roleVisibleDelay)
 	}
 	result, err := r.config.Engines.Order(ctx, server, backend.Order{
-		Role: m.Role, Holder: r.config.Holder, Fence: g.Fence, Expect: state.Orders,
+		Role: change.Role, Holder: r.config.Holder, Fence: g.Fence, Expect: state.Orders,
 	})
 	r.countResult(result)
-	answers := r.answers(view, server.Service)
+	answers := r.answerStats(view, server.Service)
 	if result != backend.OrderRejected {
-		r.made[server.Service]++
+		r.orderCount[server.Service]++
 	}
 	log.WithFields(log.Fields{
-		"engine": m.ID, "role": string(m.Role), "fence": g.Fence, "expect": state.Orders,
+		"engine": change.ID, "role": string(change.Role), "fence": g.Fence, "expect": state.Orders,
 		"result": result.String(), "error": errorText(err),
 		"misses": answers.ExpectedMissRate, "misses_known": answers.MissRateKnown, "longest_answer": answers.MaxEvents,
-	}).Info("order")
+	}).Info("order sent")
 	return true
 }
 
--- a/internal/reconcile/reconcile_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -26,18 +26,18 @@
 	RunSpecs(t, "reconcile")
 }
 
-// world is a fleet of engines and a store that names them.
-type world struct {
-	engines map[string]*engine
-	ids     []string
-	view    *directory.View
-	held    bool
-	work    int
-	// requests were placed so far.
-	requests    int64
-	misses      float64
-	missesKnown bool
-	// limited are the engines that take few requests only.
+// testFleet is a fleet of engines and a store with their registrations.
+type testFleet struct {
+	engines   map[string]*engine
+	ids       []string
+	view      *directory.View
+	leaseHeld bool
+	inFlight  int
+	// placedRequests is the result of Config.PlacedRequests.
+	placedRequests int64
+	missRate       float64
+	missRateKnown  bool
+	// limited are the engines that accept only few requests.
 	limited map[string]bool
 	now     time.Time
 }
@@ -45,52 +45,52 @@
 type engine struct {
 	state  backend.EngineState
 	orders []backend.Order
-	// lost makes the answer of the next order get lost; late makes it be
-	// carried out by land.
-	lost, late bool
-	pending    *backend.Order
+	// loseAnswer drops the reply to the next order. executeLate holds the next order
+	// back as pending, for the test to execute.
+	loseAnswer, executeLate bool
+	pending                 *backend.Order
 }
 
 var errLost = errors.New("no answer")
 
-func newWorld(prefill, decode int) *world {
-	w := &world{engines: map[string]*engine{}, now: time.Unix(1_000_000_000, 0)}
+func newTestFleet(prefill, decode int) *testFleet {
+	f := &testFleet{engines: map[string]*engine{}, now: time.Unix(1_000_000_000, 0)}
 	for i := range prefill + decode {
 		id := "e" + strconv.Itoa(i)
 		e := &engine{state: backend.EngineState{Role: backend.Prefill}}
 		if i >= prefill {
 			e.state.Role = backend.Decode
 		}
-		w.engines[id] = e
-		w.ids = append(w.ids, id)
+		f.engines[id] = e
+		f.ids = append(f.ids, id)
 	}
-	w.tell()
-	return w
+	f.publishRoles()
+	return f
 }
 
-// tell writes the engines' roles to the store.
-func (w *world) tell() { w.view = w.read() }
+// publishRoles updates the view to the current roles of the engines.
+func (f *testFleet) publishRoles() { f.view = f.readView() }
 
-func (w *world) State(_ context.Context, s backend.Server) (backend.EngineState, error) {
-	return w.engines[s.ID].state, nil
+func (f *testFleet) State(_ context.Context, s backend.Server) (backend.EngineState, error) {
+	return f.engines[s.ID].state, nil
 }
 
-func (w *world) Order(_ context.Context, s backend.Server, o backend.Order) (backend.OrderResult, error) {
-	e := w.engines[s.ID]
-	if e.late {
-		e.late = false
+func (f *testFleet) Order(_ context.Context, s backend.Server, o backend.Order) (backend.OrderResult, error) {
+	e := f.engines[s.ID]
+	if e.executeLate {
+		e.executeLate = false
 		e.pending = &o
 		return backend.OrderUnknown, errLost
 	}
-	result := e.carryOut(o)
-	if e.lost {
-		e.lost = false
+	result := e.execute(o)
+	if e.loseAnswer {
+		e.loseAnswer = false
 		return backend.OrderUnknown, errLost
 	}
 	return result, nil
 }
 
-func (e *engine) carryOut(o backend.Order) backend.OrderResult {
+func (e *engine) execute(o backend.Order) backend.OrderResult {
 	if o.Expect != e.state.Orders {
 		return backend.OrderRejected
 	}
@@ -100,43 +100,43 @@
 	return backend.OrderAccepted
 }
 
-func (w *world) Acquire(context.Context) (lease.Grant, error) {
-	if w.held {
+func (f *testFleet) Acquire(context.Context) (lease.Grant, error) {
+	if f.leaseHeld {
 		return lease.Grant{}, lease.ErrHeld
 	}
-	return lease.New(&alone{}, lease.Config{Valid: time.Minute, Clock: func() time.Duration { return 0 }}).Acquire(context.Background())
+	return lease.New(&emptyStore{}, lease.Config{Valid: time.Minute, Clock: func() time.Duration { return 0 }}).Acquire(context.Background())
 }
 
-func (w *world) reconciler(rank int) *reconcile.Reconciler {
+func (f *testFleet) reconciler(rank int) *reconcile.Reconciler {
 	return reconcile.New(reconcile.Config{
-		Holder: "f-1", View: func() *directory.View { return w.view }, Rank: func() int { return rank },
-		InFlight: func(string, string) int { return w.work }, Engines: w, Lease: w,
+		Holder: "f-1", View: func() *directory.View { return f.view }, Rank: func() int { return rank },
+		InFlight: func(string, string) int { return f.inFlight }, Engines: f, Lease: f,
 		Speed:              func(string, string) roles.Speed { return roles.Speed{} },
-		Limited:            func(server string) bool { return w.limited[server] },
+		Limited:            func(server string) bool { return f.limited[server] },
 		RoleChangeStarting: func(string, string, time.Duration) {},
-		ExpectedMissRate:   func(string) (float64, bool) { return w.misses, w.missesKnown },
-		PlacedRequests:     func(string) int64 { return w.requests },
+		ExpectedMissRate:   func(string) (float64, bool) { return f.missRate, f.missRateKnown },
+		PlacedRequests:     func(string) int64 { return f.placedRequests },
 	})
 }
 
-// pass lets time go by in steps of half a second.
-func (w *world) pass(r *reconcile.Reconciler, d time.Duration) {
-	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(500 * time.Millisecond) {
-		r.Step(context.Background(), w.now)
+// advance runs r for d, in steps of half a second.
+func (f *testFleet) advance(r *reconcile.Reconciler, d time.Duration) {
+	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(500 * time.Millisecond) {
+		r.Step(context.Background(), f.now)
 	}
 }
 
-func (w *world) orders() int {
+func (f *testFleet) orderCount() int {
 	n := 0
-	for _, e := range w.engines {
+	for _, e := range f.engines {
 		n += len(e.orders)
 	}
 	return n
 }
 
-func (w *world) decoding() int {
+func (f *testFleet) decodeEngines() int {
 	n := 0
-	for _, e := range w.engines {
+	for _, e := range f.engines {
 		if e.state.Role == backend.Decode {
 			n++
 		}
@@ -145,121 +145,122 @@
 }
 
 var _ = Describe("Reconciler", func() {
-	It("brings idle engines to their roles at once, and leaves them there", func() {
-		w := newWorld(5, 7)
-		r := w.reconciler(0)
-		w.pass(r, 5*time.Second)
-		Expect(w.decoding()).To(Equal(5))
-		w.tell()
-		w.pass(r, time.Minute)
-		Expect(w.orders()).To(Equal(2))
+	It("changes idle engines to their roles concurrently, and leaves them there", func() {
+		f := newTestFleet(5, 7)
+		r := f.reconciler(0)
+		f.advance(r, 5*time.Second)
+		Expect(f.decodeEngines()).To(Equal(5))
+		f.publishRoles()
+		f.advance(r, time.Minute)
+		Expect(f.orderCount()).To(Equal(2))
 	})
 
-	// Three hundred engines start in the wrong roles and few callers come. Each
-	// order takes an engine away for seconds, and no answer is any sooner.
-	It("does not reorder a large fleet that nobody uses, until somebody does", func() {
-		w := newWorld(120, 180)
-		r := w.reconciler(0)
+	// Guards against useless role changes: of three hundred engines, many start in
+	// the wrong roles, but there are few requests. Each order makes an engine
+	// unavailable for seconds without making any answer faster.
+	It("does not change the roles of a large unused fleet until it is used", func() {
+		f := newTestFleet(120, 180)
+		r := f.reconciler(0)
 		for range 30 {
-			w.pass(r, 15*time.Second)
-			w.tell()
+			f.advance(r, 15*time.Second)
+			f.publishRoles()
 		}
-		Expect(w.orders()).To(BeNumerically("<=", 16))
-		w.requests = 100_000
+		Expect(f.orderCount()).To(BeNumerically("<=", 16))
+		f.placedRequests = 100_000
 		for range 30 {
-			w.pass(r, 15*time.Second)
-			w.tell()
+			f.advance(r, 15*time.Second)
+			f.publishRoles()
 		}
-		Expect(w.decoding()).To(Equal(120))
+		Expect(f.decodeEngines()).To(Equal(120))
 	})
 
 	It("changes busy engines one at a time", func() {
-		w := newWorld(5, 7)
-		w.work = 1
-		r := w.reconciler(0)
-		w.pass(r, 5*time.Second)
-		Expect(w.orders()).To(Equal(1))
-		w.tell()
-		w.pass(r, 20*time.Second)
-		Expect(w.orders()).To(Equal(2))
+		f := newTestFleet(5, 7)
+		f.inFlight = 1
+		r := f.reconciler(0)
+		f.advance(r, 5*time.Second)
+		Expect(f.orderCount()).To(Equal(1))
+		f.publishRoles()
+		f.advance(r, 20*time.Second)
+		Expect(f.orderCount()).To(Equal(2))
 	})
 
-	// Guards against a role staying short for as long as several changes take one after
-	// the other, after its engines were replaced.
-	It("changes busy engines together while a role has at most half of its engines", func() {
-		w := newWorld(1, 7)
-		w.work = 1
-		r := w.reconciler(0)
-		w.pass(r, 5*time.Second)
-		Expect(w.orders()).To(Equal(2))
-		w.pass(r, 4*time.Second)
-		Expect(w.orders()).To(Equal(2))
+	// Guards against a role being short of engines for a long time after its engines
+	// were replaced, because several changes are made one after another.
+	It("changes busy engines concurrently while a role has at most half of its engines", func() {
+		f := newTestFleet(1, 7)
+		f.inFlight = 1
+		r := f.reconciler(0)
+		f.advance(r, 5*time.Second)
+		Expect(f.orderCount()).To(Equal(2))
+		f.advance(r, 4*time.Second)
+		Expect(f.orderCount()).To(Equal(2))
 	})
 
-	// Guards against engines that take next to nothing counting as a role's, so that the
-	// rest of the role has all its work.
-	It("does not count engines that name a limit, and restores the share afterwards", func() {
-		w := newWorld(7, 5)
-		r := w.reconciler(0)
-		w.limited = map[string]bool{"e8": true, "e9": true, "e10": true}
+	// Guards against counting engines that accept almost no requests towards a role,
+	// which leaves all the work of the role to its other engines.
+	It("does not count engines that announce a limit, and restores the share afterwards", func() {
+		f := newTestFleet(7, 5)
+		r := f.reconciler(0)
+		f.limited = map[string]bool{"e8": true, "e9": true, "e10": true}
 		for range 5 {
-			w.pass(r, 15*time.Second)
-			w.tell()
+			f.advance(r, 15*time.Second)
+			f.publishRoles()
 		}
-		Expect(w.decoding()).To(Equal(7))
-		for id := range w.limited {
-			Expect(w.engines[id].orders).To(BeEmpty())
+		Expect(f.decodeEngines()).To(Equal(7))
+		for id := range f.limited {
+			Expect(f.engines[id].orders).To(BeEmpty())
 		}
-		w.limited = nil
+		f.limited = nil
 		for range 5 {
-			w.pass(r, 15*time.Second)
-			w.tell()
+			f.advance(r, 15*time.Second)
+			f.publishRoles()
 		}
-		Expect(w.decoding()).To(Equal(5))
+		Expect(f.decodeEngines()).To(Equal(5))
 	})
 
-	It("gives no order while another process holds the lease", func() {
-		w := newWorld(5, 7)
-		w.held = true
-		w.pass(w.reconciler(0), time.Minute)
-		Expect(w.orders()).To(BeZero())
+	It("sends no order while another process holds the lease", func() {
+		f := newTestFleet(5, 7)
+		f.leaseHeld = true
+		f.advance(f.reconciler(0), time.Minute)
+		Expect(f.orderCount()).To(BeZero())
 	})
 
-	It("lets the first among the gateways act first", func() {
-		w := newWorld(5, 7)
-		w.pass(w.reconciler(2), 15*time.Second)
-		Expect(w.orders()).To(BeZero())
-		w.pass(w.reconciler(2), 30*time.Second)
-		Expect(w.orders()).To(Equal(2))
+	It("delays gateways of higher rank", func() {
+		f := newTestFleet(5, 7)
+		f.advance(f.reconciler(2), 15*time.Second)
+		Expect(f.orderCount()).To(BeZero())
+		f.advance(f.reconciler(2), 30*time.Second)
+		Expect(f.orderCount()).To(Equal(2))
 	})
 
-	// An engine carries an order out and its answer is lost. Sent again blindly,
-	// the engine would be away twice.
-	It("does not repeat an order whose answer was lost", func() {
-		w := newWorld(5, 7)
-		for _, e := range w.engines {
-			e.lost = true
+	// Guards against an engine being unavailable twice: it carries out an order
+	// whose reply is lost, and the order is repeated without reading its state.
+	It("does not repeat an order whose reply was lost", func() {
+		f := newTestFleet(5, 7)
+		for _, e := range f.engines {
+			e.loseAnswer = true
 		}
-		w.pass(w.reconciler(0), time.Minute)
-		Expect(w.orders()).To(Equal(2))
-		Expect(w.decoding()).To(Equal(5))
+		f.advance(f.reconciler(0), time.Minute)
+		Expect(f.orderCount()).To(Equal(2))
+		Expect(f.decodeEngines()).To(Equal(5))
 	})
 
-	// An engine takes an order and carries it out ten seconds later, after a
-	// newer one was accepted. The engine must not go back to the old role.
-	It("makes an order that is carried out late have no effect after a newer one", func() {
-		w := newWorld(5, 7)
-		for _, e := range w.engines {
-			e.late = true
+	// Guards against an engine returning to an old role: it receives an order ten
+	// seconds late, after a newer one was accepted.
+	It("makes a late order ineffective after a newer one", func() {
+		f := newTestFleet(5, 7)
+		for _, e := range f.engines {
+			e.executeLate = true
 		}
-		w.pass(w.reconciler(0), time.Minute)
-		Expect(w.decoding()).To(Equal(5))
-		for _, e := range w.engines {
+		f.advance(f.reconciler(0), time.Minute)
+		Expect(f.decodeEngines()).To(Equal(5))
+		for _, e := range f.engines {
 			if e.pending == nil {
 				continue
 			}
 			before := e.state
-			if e.carryOut(*e.pending) == backend.OrderRejected {
+			if e.execute(*e.pending) == backend.OrderRejected {
 				Expect(e.state).To(Equal(before))
 			}
 			Expect(len(e.orders)).To(BeNumerically("<=", 1))
@@ -267,42 +268,42 @@
 	})
 })
 
-var _ = Describe("a fleet whose longest answers are cut by their deadlines", func() {
-	It("has one more engine generate, and keeps it when the burst is over", func() {
-		w := newWorld(6, 4)
-		r := w.reconciler(0)
-		decoders := func() int {
-			return lo.CountBy(w.ids, func(id string) bool { return w.engines[id].state.Role == backend.Decode })
+var _ = Describe("a fleet whose longest answers are cut off by their deadlines", func() {
+	It("gets one more decode engine, and keeps it when the burst is over", func() {
+		f := newTestFleet(6, 4)
+		r := f.reconciler(0)
+		decodeCount := func() int {
+			return lo.CountBy(f.ids, func(id string) bool { return f.engines[id].state.Role == backend.Decode })
 		}
-		w.misses, w.missesKnown = 0.15, true
-		w.pass(r, 10*time.Second)
-		Expect(decoders()).To(Equal(4))
-		w.misses = 0.4
-		w.pass(r, 10*time.Second)
-		Expect(decoders()).To(Equal(5))
-		w.tell()
-		w.misses = 0.15
-		w.pass(r, time.Minute)
-		Expect(decoders()).To(Equal(5))
+		f.missRate, f.missRateKnown = 0.15, true
+		f.advance(r, 10*time.Second)
+		Expect(decodeCount()).To(Equal(4))
+		f.missRate = 0.4
+		f.advance(r, 10*time.Second)
+		Expect(decodeCount()).To(Equal(5))
+		f.publishRoles()
+		f.missRate = 0.15
+		f.advance(r, time.Minute)
+		Expect(decodeCount()).To(Equal(5))
 	})
 })
 
-// alone is a store with nobody else.
-type alone struct {
+// emptyStore is a store without a lease, in which each Create succeeds.
+type emptyStore struct {
 	store.Store
 	revision int64
 }
 
-func (a *alone) Get(context.Context, string, string) (store.Object, error) {
+func (a *emptyStore) Get(context.Context, string, string) (store.Object, error) {
 	return store.Object{}, store.ErrNotFound
 }
 
-func (a *alone) Create(_ context.Context, _, name string, _ any) (store.Object, error) {
+func (a *emptyStore) Create(_ context.Context, _, name string, _ any) (store.Object, error) {
 	a.revision++
 	return store.Object{Name: name, Revision: a.revision}, nil
 }
 
-// decoder takes the world's own types from the objects' values.
+// decoder decodes the objects of registryStore.
 type decoder struct{}
 
 func (decoder) Config(store.Object) (*routes.Table, error) {
@@ -315,19 +316,19 @@
 	return backend.Server{ID: o.Name, Service: "llm", DataCentre: "z", Role: role}, err
 }
 
-// fixed is a store with the engines' entries.
-type fixed struct {
+// registryStore is a store with the registrations of the engines.
+type registryStore struct {
 	store.Store
-	w *world
+	fleet *testFleet
 }
 
-func (f fixed) List(_ context.Context, kind string, _ store.Freshness) (store.Listing, error) {
+func (f registryStore) List(_ context.Context, kind string, _ store.Freshness) (store.Listing, error) {
 	if kind == "config" {
 		return store.Listing{Objects: []store.Object{{Name: "main", Revision: 1}}, At: 1}, nil
 	}
 	l := store.Listing{At: 1}
-	for _, id := range f.w.ids {
-		spec, err := json.Marshal(f.w.engines[id].state.Role)
+	for _, id := range f.fleet.ids {
+		spec, err := json.Marshal(f.fleet.engines[id].state.Role)
 		if err != nil {
 			return l, err
 		}
@@ -336,19 +337,19 @@
 	return l, nil
 }
 
-func (f fixed) Watch(ctx context.Context, _ string, _ int64, _ time.Duration) (store.Batch, error) {
+func (f registryStore) Watch(ctx context.Context, _ string, _ int64, _ time.Duration) (store.Batch, error) {
 	<-ctx.Done()
 	return store.Batch{}, ctx.Err()
 }
 
-// read returns a view of the store as it is.
-func (w *world) read() *directory.View {
-	d := directory.New(fixed{w: w}, decoder{}, directory.Kinds{Config: "config", ConfigName: "main", Servers: "servers"})
+// readView returns a view of the current content of the store.
+func (f *testFleet) readView() *directory.View {
+	d := directory.New(registryStore{fleet: f}, decoder{}, directory.Kinds{Config: "config", ConfigName: "main", Servers: "servers"})
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go func() { _ = d.FollowConfig(ctx) }()
 	go func() { _ = d.FollowServers(ctx) }()
-	Eventually(func() int { return len(d.View().Servers) }).Should(Equal(len(w.ids)))
+	Eventually(func() int { return len(d.View().Servers) }).Should(Equal(len(f.ids)))
 	Eventually(func() bool { return d.View().Table != nil }).Should(BeTrue())
 	return d.View()
 }
