--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -141,17 +141,17 @@
 		// This request did nothing, but the call already running under the key
 		// may take effect.
 		return &verdict.Error{
-			Verdict: verdict.MayHaveRun, Code: verdict.CodeKeyInUse,
+			Verdict: verdict.MayHaveRun, Code: verdict.CodeKeyInProgress,
 			Message: "a call with this key is running", RetryAfter: a.RetryAfter,
 		}
 	case BodyMismatch:
 		return verdict.New(verdict.NotRun, verdict.CodeKeyReused, "the key was used for another call")
 	case MayHaveRun:
-		return verdict.New(verdict.MayHaveRun, verdict.CodeUnknownResult,
+		return verdict.New(verdict.MayHaveRun, verdict.CodeOutcomeUnknown,
 			"a call with this key was started and its result is lost")
 	case NotOwner:
-		return verdict.Refused(verdict.CodeNoBackend, "another backend server answers for this key", a.RetryAfter)
+		return verdict.NewRejection(verdict.CodeNoBackend, "another backend server answers for this key", a.RetryAfter)
 	default:
-		return verdict.Refused(verdict.CodeStore, a.Reason, a.RetryAfter)
+		return verdict.NewRejection(verdict.CodeStoreUnavailable, a.Reason, a.RetryAfter)
 	}
 }
--- a/internal/claims/commit.go
+++ b/internal/claims/commit.go
@@ -42,7 +42,7 @@
 			c := next.Claims[name]
 			result := k.result
 			c.Result = &result
-			c.Done = next.Clock
+			c.RecordedAt = next.Clock
 			c.RequestID = ""
 			next.set(name, c)
 		case keyCancelled, keyQueued:
--- a/internal/claims/record.go
+++ b/internal/claims/record.go
@@ -52,8 +52,8 @@
 	// a Result.
 	RequestID string `json:"request,omitempty"`
 	// Done is the Record.Clock at which the result was recorded.
-	Done   int64   `json:"done_ms,omitempty"`
-	Result *Result `json:"result,omitempty"`
+	RecordedAt int64   `json:"done_ms,omitempty"`
+	Result     *Result `json:"result,omitempty"`
 
 	// encoded caches the encoded claim, or is nil. Each commit writes all claims
 	// but changes only a few.
@@ -134,7 +134,7 @@
 // without a result stay, as it will never be known whether their calls ran.
 func (r Record) expire(retention time.Duration) {
 	maps.DeleteFunc(r.Claims, func(_ string, c Claim) bool {
-		return c.Result != nil && r.Clock-c.Done >= retention.Milliseconds()
+		return c.Result != nil && r.Clock-c.RecordedAt >= retention.Milliseconds()
 	})
 }
 
@@ -209,7 +209,7 @@
 		}
 	}
 	slices.SortFunc(keys, func(a, b string) int {
-		if d := r.Claims[a].Done - r.Claims[b].Done; d != 0 {
+		if d := r.Claims[a].RecordedAt - r.Claims[b].RecordedAt; d != 0 {
 			return int(d)
 		}
 		return strings.Compare(a, b)
--- a/internal/claims/record_test.go
+++ b/internal/claims/record_test.go
@@ -62,7 +62,7 @@
 				result := claims.NewResult(201, nil, []byte(`{"hold":"0192d2c1-7d5c-7e60-a5a0-3f1c2b9a8e11"}`))
 				r.Claims[fmt.Sprintf("0192d2c1-7d5c-7e60-a5a0-%012d", n)] = claims.Claim{
 					BodyDigest: 1 << 63, Epoch: 1,
-					Done: 1_000_000, Result: &result,
+					RecordedAt: 1_000_000, Result: &result,
 				}
 			}
 			// The claims of an owner's record are already encoded, by an earlier
--- a/internal/decide/admit/admit.go
+++ b/internal/decide/admit/admit.go
@@ -32,7 +32,7 @@
 	// active caller (seconds).
 	DefaultWindow = 5 * time.Second
 	// DefaultAccounts is the maximum number of accounts tracked.
-	DefaultAccounts = 9_600
+	DefaultMaxAccounts = 9_600
 	// DefaultRemoteTTL is how long usage received by gossip counts without renewal: a few
 	// gossip rounds of 1 s.
 	DefaultRemoteTTL = 5 * time.Second
@@ -185,7 +185,7 @@
 	cfg.SaturationDelay = cmp.Or(cfg.SaturationDelay, DefaultSaturationDelay)
 	cfg.SlackFraction = cmp.Or(cfg.SlackFraction, DefaultSlackFraction)
 	cfg.Window = cmp.Or(cfg.Window, DefaultWindow)
-	cfg.MaxAccounts = cmp.Or(cfg.MaxAccounts, DefaultAccounts)
+	cfg.MaxAccounts = cmp.Or(cfg.MaxAccounts, DefaultMaxAccounts)
 	cfg.RemoteTTL = cmp.Or(cfg.RemoteTTL, DefaultRemoteTTL)
 	cfg.MaxRemoteEntries = cmp.Or(cfg.MaxRemoteEntries, DefaultMaxRemoteEntries)
 	cfg.MaxRemoteAccounts = cmp.Or(cfg.MaxRemoteAccounts, DefaultMaxRemoteAccounts)
--- a/internal/decide/admit/admit_test.go
+++ b/internal/decide/admit/admit_test.go
@@ -159,7 +159,7 @@
 // time, which determines how often the fair share is computed.
 func BenchmarkDecide(b *testing.B) {
 	a := admit.New(admit.Config{})
-	callers := make([]string, admit.DefaultAccounts)
+	callers := make([]string, admit.DefaultMaxAccounts)
 	for i := range callers {
 		callers[i] = fmt.Sprintf("caller-%d", i)
 	}
--- a/internal/decide/place/answer.go
+++ b/internal/decide/place/answer.go
@@ -16,7 +16,7 @@
 // finish in time anywhere. If answers were spread by the number of streams, the longest
 // ones on slow or crowded engines would be cut off by their deadlines.
 func (f *Fleet) answerCost(now time.Time, j Job, c Constraints, e *engine) (cost time.Duration, miss float64) {
-	if j.Prompt.Output <= 0 || !f.decodeCalibrated() {
+	if j.Prompt.ExpectedOutputTokens <= 0 || !f.decodeCalibrated() {
 		return 0, 0
 	}
 	added := predict.DecodeBatch{PromptTokens: float64(f.contextTokens(j.Prompt))}
@@ -31,12 +31,14 @@
 
 // answerOf returns what is known of a prompt's answer.
 func answerOf(p request.Prompt) predict.Answer {
-	return predict.Answer{HintTokens: p.Output, EventsDone: p.Done}
+	return predict.Answer{HintTokens: p.ExpectedOutputTokens, EventsDone: p.DeliveredEvents}
 }
 
 // contextTokens returns how many tokens an engine needs in its KV cache before it
 // continues an answer: the prompt, and what was generated of the answer elsewhere.
-func (f *Fleet) contextTokens(p request.Prompt) int { return p.Tokens + f.answerLengths.Tokens(p.Done) }
+func (f *Fleet) contextTokens(p request.Prompt) int {
+	return p.Tokens + f.answerLengths.Tokens(p.DeliveredEvents)
+}
 
 // decodeCalibrated reports whether there are enough samples to compare engines by the
 // answers they generate. An engine without samples then counts as an average one: if it
--- a/internal/decide/place/answer_test.go
+++ b/internal/decide/place/answer_test.go
@@ -84,7 +84,7 @@
 // placeAnswer has the rest of an answer generated, if it is admitted.
 func (s *answerSim) placeAnswer(now time.Time, a *simAnswer) {
 	j := place.Job{ID: a.id, Prompt: prompt(uint64(a.id), 0, 200, uint64(a.id))}
-	j.Prompt.Output, j.Prompt.Done = a.hint, int(a.generated)
+	j.Prompt.ExpectedOutputTokens, j.Prompt.DeliveredEvents = a.hint, int(a.generated)
 	constraints := place.Constraints{Objective: 150 * time.Millisecond, Remaining: a.deadline.Sub(now)}
 	plan, admission, ok := s.fleet.Plan(now, j, constraints)
 	Expect(ok).To(BeTrue())
@@ -93,7 +93,7 @@
 		return
 	}
 	s.fleet.AddPlacement(now, place.Placement{
-		ID: a.id, Prompt: request.Prompt{Tokens: 200, Output: a.hint, Done: int(a.generated)}, Plan: plan, Remaining: constraints.Remaining,
+		ID: a.id, Prompt: request.Prompt{Tokens: 200, ExpectedOutputTokens: a.hint, DeliveredEvents: int(a.generated)}, Plan: plan, Remaining: constraints.Remaining,
 	})
 	s.fleet.PrefillDone(now, a.id)
 	a.decodeEngine, a.lastEvent = plan.DecodeEngine, now
@@ -210,7 +210,7 @@
 			f.ObserveAnswerLength(100, 1+2*(n%2))
 			id := place.JobID(1<<40 + n)
 			f.AddPlacement(at(0), place.Placement{
-				ID: id, Plan: place.Plan{PrefillEngine: "e0", DecodeEngine: "e1"}, Remaining: time.Minute, Prompt: request.Prompt{Output: length},
+				ID: id, Plan: place.Plan{PrefillEngine: "e0", DecodeEngine: "e1"}, Remaining: time.Minute, Prompt: request.Prompt{ExpectedOutputTokens: length},
 			})
 			f.PrefillDone(at(0), id)
 			f.ObserveInterEventTime(at(0), id, 50*time.Millisecond)
--- a/internal/decide/place/resumed_test.go
+++ b/internal/decide/place/resumed_test.go
@@ -103,7 +103,7 @@
 	}
 	resumed := func(done int) place.Job {
 		j := place.Job{ID: 1, Prompt: prompt(1, 0, 200, 1)}
-		j.Prompt.Output, j.Prompt.Done = 20_000, done
+		j.Prompt.ExpectedOutputTokens, j.Prompt.DeliveredEvents = 20_000, done
 		return j
 	}
 
--- a/internal/decide/place/snapshot.go
+++ b/internal/decide/place/snapshot.go
@@ -15,8 +15,8 @@
 // It has no prefill estimates. They depend on messages from other gateways; if they
 // were stored, the error of one gateway would become that of all.
 type Snapshot struct {
-	InterEvent predict.FitSnapshot    `json:"steps"`
-	Lengths    predict.LengthSnapshot `json:"lengths"`
+	InterEvent    predict.FitSnapshot    `json:"steps"`
+	AnswerLengths predict.LengthSnapshot `json:"lengths"`
 	// Engines has the engines whose answers were observed.
 	Engines map[string]EngineSnapshot `json:"engines"`
 }
@@ -30,7 +30,7 @@
 // Snapshot returns what was learned; false if there are too few samples to be useful to
 // others.
 func (f *Fleet) Snapshot() (Snapshot, bool) {
-	s := Snapshot{InterEvent: f.interEventModel.Snapshot(), Lengths: f.answerLengths.Snapshot(), Engines: make(map[string]EngineSnapshot)}
+	s := Snapshot{InterEvent: f.interEventModel.Snapshot(), AnswerLengths: f.answerLengths.Snapshot(), Engines: make(map[string]EngineSnapshot)}
 	for id, e := range f.engines {
 		if e.decodeSpeed.Calibrated() {
 			s.Engines[id] = EngineSnapshot{Incarnation: e.Incarnation, DecodeSpeed: e.decodeSpeed.Snapshot()}
@@ -42,7 +42,7 @@
 // Restore takes over what another process has learned, where this one has few samples.
 // The error names what could not be used; the rest is restored.
 func (f *Fleet) Restore(s Snapshot) error {
-	errs := []error{f.interEventModel.Restore(s.InterEvent), f.answerLengths.Restore(s.Lengths)}
+	errs := []error{f.interEventModel.Restore(s.InterEvent), f.answerLengths.Restore(s.AnswerLengths)}
 	f.restoredEngines = make(map[string]EngineSnapshot, len(s.Engines))
 	for id, e := range s.Engines {
 		if !e.DecodeSpeed.Valid() {
--- a/internal/decide/queue/queue.go
+++ b/internal/decide/queue/queue.go
@@ -49,7 +49,7 @@
 // Config configures a Queue. A zero field means its default.
 type Config struct {
 	MaxItems         int
-	PieceTokens      int
+	KVBlockTokens    int
 	LongPromptTokens int
 	LongShare        float64
 	MaxServiceLead   float64
@@ -57,7 +57,7 @@
 	ClassWeights     []float64
 	// Pieces is the size of the engine's KV cache in blocks; an item that needs more is
 	// rejected. 0 means unknown.
-	Pieces int
+	KVBlocks int
 }
 
 // Item is a queued request.
@@ -78,8 +78,8 @@
 
 // Capacity is the free capacity of an engine: batch slots and KV cache blocks.
 type Capacity struct {
-	Slots  int
-	Pieces int
+	Slots    int
+	KVBlocks int
 }
 
 // Reason is the reason why an item was removed without running.
@@ -152,7 +152,7 @@
 // New returns an empty Queue.
 func New(cfg Config) *Queue {
 	cfg.MaxItems = cmp.Or(cfg.MaxItems, DefaultMaxItems)
-	cfg.PieceTokens = cmp.Or(cfg.PieceTokens, DefaultKVBlockTokens)
+	cfg.KVBlockTokens = cmp.Or(cfg.KVBlockTokens, DefaultKVBlockTokens)
 	cfg.LongPromptTokens = cmp.Or(cfg.LongPromptTokens, DefaultLongPromptTokens)
 	cfg.LongShare = cmp.Or(cfg.LongShare, DefaultLongShare)
 	cfg.MaxServiceLead = cmp.Or(cfg.MaxServiceLead, DefaultMaxServiceLead)
@@ -190,7 +190,7 @@
 	if _, ok := q.byID[i.ID]; ok {
 		return true, 0
 	}
-	if q.cfg.Pieces > 0 && q.kvBlocks(i) > q.cfg.Pieces {
+	if q.cfg.KVBlocks > 0 && q.kvBlocks(i) > q.cfg.KVBlocks {
 		return false, 0
 	}
 	if missesDeadline(now, i) {
@@ -267,7 +267,7 @@
 }
 
 func (q *Queue) kvBlocks(i Item) int {
-	return (i.PromptTokens + i.OutputTokens + q.cfg.PieceTokens - 1) / q.cfg.PieceTokens
+	return (i.PromptTokens + i.OutputTokens + q.cfg.KVBlockTokens - 1) / q.cfg.KVBlockTokens
 }
 
 func (q *Queue) newQueuedItem(i Item) *queuedItem {
--- a/internal/decide/queue/queue_test.go
+++ b/internal/decide/queue/queue_test.go
@@ -30,7 +30,7 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-var free = queue.Capacity{Slots: 1, Pieces: 1_000}
+var free = queue.Capacity{Slots: 1, KVBlocks: 1_000}
 
 func item(id, caller string, prompt int) queue.Item {
 	return queue.Item{ID: id, Caller: caller, PromptTokens: prompt, Deadline: at(time.Minute)}
@@ -129,7 +129,7 @@
 		for i := range 50 {
 			q.Push(start, item(fmt.Sprintf("short-%d", i), "interactive", 500))
 		}
-		small := queue.Capacity{Slots: 1, Pieces: 20}
+		small := queue.Capacity{Slots: 1, KVBlocks: 20}
 		for range 2 {
 			_, ok := q.Pop(start, small)
 			Expect(ok).To(BeTrue(), "capacity is not reserved yet")
@@ -141,12 +141,12 @@
 			}
 		}
 		Expect(popped).To(BeZero())
-		i, _ := q.Pop(at(3*time.Second), queue.Capacity{Slots: 1, Pieces: 60})
+		i, _ := q.Pop(at(3*time.Second), queue.Capacity{Slots: 1, KVBlocks: 60})
 		Expect(i.ID).To(Equal("long"))
 	})
 
 	It("rejects an item that can never fit", func() {
-		q := queue.New(queue.Config{Pieces: 10})
+		q := queue.New(queue.Config{KVBlocks: 10})
 		ok, _ := q.Push(start, item("huge", "batch", 100_000))
 		Expect(ok).To(BeFalse())
 	})
@@ -182,7 +182,7 @@
 				}
 			},
 			"pop": func(t *rapid.T) {
-				free := queue.Capacity{Slots: 1, Pieces: rapid.IntRange(0, 20).Draw(t, "pieces")}
+				free := queue.Capacity{Slots: 1, KVBlocks: rapid.IntRange(0, 20).Draw(t, "pieces")}
 				i, ok := q.Pop(now, free)
 				if !ok {
 					return
--- a/internal/decide/queue/scheduling.go
+++ b/internal/decide/queue/scheduling.go
@@ -99,7 +99,7 @@
 		if best == nil || dueBefore(item, best) {
 			best = item
 		}
-		if q.kvBlocks(item.Item) <= free.Pieces && (bestFit == nil || dueBefore(item, bestFit)) {
+		if q.kvBlocks(item.Item) <= free.KVBlocks && (bestFit == nil || dueBefore(item, bestFit)) {
 			bestFit = item
 		}
 	}
@@ -120,7 +120,7 @@
 	if missesDeadline(now, reserved.Item) {
 		return false
 	}
-	return free.Pieces-q.kvBlocks(item.Item) < q.kvBlocks(reserved.Item)
+	return free.KVBlocks-q.kvBlocks(item.Item) < q.kvBlocks(reserved.Item)
 }
 
 func dueBefore(a, b *queuedItem) bool {
--- a/internal/decide/route/filter_serves.go
+++ b/internal/decide/route/filter_serves.go
@@ -22,5 +22,5 @@
 		return true
 	}
 	spills := r.Role == Prefill && c.Role == Decode
-	return spills && c.SpillPrompt > 0 && uncached(r, c) <= c.SpillPrompt
+	return spills && c.MaxSpilloverPrompt > 0 && uncached(r, c) <= c.MaxSpilloverPrompt
 }
--- a/internal/decide/route/pick_two.go
+++ b/internal/decide/route/pick_two.go
@@ -22,11 +22,11 @@
 // Pick implements Picker.
 func (TwoChoices) Pick(rng *rand.Rand, scored []Scored) Scored {
 	slices.SortFunc(scored, func(a, b Scored) int {
-		return cmp.Or(cmp.Compare(a.Expected, b.Expected), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(a.ExpectedTTFT, b.ExpectedTTFT), cmp.Compare(a.Name, b.Name))
 	})
-	limit := scored[0].Expected + max(nearFloor, time.Duration(nearShare*float64(scored[0].Expected)))
+	limit := scored[0].ExpectedTTFT + max(nearFloor, time.Duration(nearShare*float64(scored[0].ExpectedTTFT)))
 	near := 1
-	for near < len(scored) && scored[near].Expected <= limit {
+	for near < len(scored) && scored[near].ExpectedTTFT <= limit {
 		near++
 	}
 	return scored[min(rng.IntN(near), rng.IntN(near))]
--- a/internal/decide/route/picture.go
+++ b/internal/decide/route/picture.go
@@ -18,7 +18,7 @@
 // report of each, corrected by what this entry has sent and finished since. An
 // entry that trusted the report alone would send everything to the server
 // that was idle when it reported, until the next report comes.
-type Picture struct {
+type LoadTracker struct {
 	servers map[string]*serverPicture
 }
 
@@ -37,13 +37,13 @@
 }
 
 // NewPicture returns an empty Picture.
-func NewPicture() *Picture {
-	return &Picture{servers: make(map[string]*serverPicture)}
+func NewLoadTracker() *LoadTracker {
+	return &LoadTracker{servers: make(map[string]*serverPicture)}
 }
 
 // Report takes in a load measured at the given time. An older one than the last
 // is dropped.
-func (p *Picture) Report(measured time.Time, name string, l Load) {
+func (p *LoadTracker) Report(measured time.Time, name string, l Load) {
 	s := p.server(name)
 	if s == nil || measured.Before(s.at) {
 		return
@@ -55,7 +55,7 @@
 
 // Sent notes a request on its way to name, with the prompt tokens that are
 // likely uncached.
-func (p *Picture) Sent(now time.Time, name, id string, tokens int) {
+func (p *LoadTracker) AddRequest(now time.Time, name, id string, tokens int) {
 	s := p.server(name)
 	if s == nil {
 		return
@@ -70,7 +70,7 @@
 
 // Done notes that a request no longer waits for its first token at name: it
 // began to answer, failed or was refused.
-func (p *Picture) Done(_ time.Time, name, id string) {
+func (p *LoadTracker) RemoveRequest(_ time.Time, name, id string) {
 	s, ok := p.servers[name]
 	if !ok {
 		return
@@ -87,7 +87,7 @@
 
 // Load returns the corrected load, and how old its report is; false without a
 // report.
-func (p *Picture) Load(now time.Time, name string) (l Load, age time.Duration, ok bool) {
+func (p *LoadTracker) Load(now time.Time, name string) (l Load, age time.Duration, ok bool) {
 	s, ok := p.servers[name]
 	if !ok {
 		return Load{}, 0, false
@@ -104,9 +104,9 @@
 }
 
 // Forget drops a backend server that has left.
-func (p *Picture) Forget(name string) { delete(p.servers, name) }
+func (p *LoadTracker) RemoveServer(name string) { delete(p.servers, name) }
 
-func (p *Picture) server(name string) *serverPicture {
+func (p *LoadTracker) server(name string) *serverPicture {
 	s, ok := p.servers[name]
 	if ok {
 		return s
--- a/internal/decide/route/prefix.go
+++ b/internal/decide/route/prefix.go
@@ -58,7 +58,7 @@
 }
 
 // Stored takes in a cache event: name now holds the pieces.
-func (x *PrefixIndex) Stored(now time.Time, name string, pieces []uint64) {
+func (x *PrefixIndex) AddStored(now time.Time, name string, pieces []uint64) {
 	for _, piece := range pieces {
 		x.hold(now, piece, name, eventTTL)
 	}
@@ -66,14 +66,14 @@
 
 // Sent notes that a prompt of these pieces was sent to name, which will likely
 // hold them before its cache event comes.
-func (x *PrefixIndex) Sent(now time.Time, name string, pieces []uint64) {
+func (x *PrefixIndex) AddExpected(now time.Time, name string, pieces []uint64) {
 	for _, piece := range pieces {
 		x.hold(now, piece, name, sentTTL)
 	}
 }
 
 // Evicted takes in a cache event: name no longer holds the pieces.
-func (x *PrefixIndex) Evicted(name string, pieces []uint64) {
+func (x *PrefixIndex) RemoveEvicted(name string, pieces []uint64) {
 	for _, piece := range pieces {
 		if h, ok := x.entries[piece]; ok {
 			h.drop(name)
@@ -83,7 +83,7 @@
 
 // Gap notes that events of name were lost: what it held counts for a short
 // while only, unless events or requests confirm it.
-func (x *PrefixIndex) Gap(now time.Time, name string) {
+func (x *PrefixIndex) EventsLost(now time.Time, name string) {
 	g, ok := x.gaps[name]
 	if !ok && len(x.gaps) >= DefaultServers {
 		return
@@ -96,7 +96,7 @@
 }
 
 // Forget drops all that name held: it restarted, changed its model or left.
-func (x *PrefixIndex) Forget(name string) {
+func (x *PrefixIndex) RemoveServer(name string) {
 	delete(x.gaps, name)
 	for _, h := range x.entries {
 		h.drop(name)
@@ -105,7 +105,7 @@
 
 // Cached counts, for each backend server that holds any, the leading pieces of
 // the chain that it likely holds.
-func (x *PrefixIndex) Cached(now time.Time, pieces []uint64) map[string]int {
+func (x *PrefixIndex) CachedBlocks(now time.Time, pieces []uint64) map[string]int {
 	cached := make(map[string]int)
 	for i, piece := range pieces {
 		h, ok := x.entries[piece]
--- a/internal/decide/route/route.go
+++ b/internal/decide/route/route.go
@@ -40,8 +40,8 @@
 	PromptTokens   int
 	OutputTokens   int
 	// Pieces is the hash chain of the prompt's whole pieces, from Pieces.
-	Pieces     []uint64
-	DataCentre string
+	PrefixBlocks []uint64
+	DataCentre   string
 	// Role is the work asked for; empty for a plain service.
 	Role Role
 	// Excluded names are not tried again.
@@ -63,11 +63,11 @@
 	Leaving bool
 	// SpillPrompt is the longest prompt, in tokens, that this decode engine
 	// prefills; 0 means none.
-	SpillPrompt int
+	MaxSpilloverPrompt int
 	// Load is the corrected load, from a Picture.
 	Load Load
 	// CachedPieces counts the request's leading pieces that are likely cached.
-	CachedPieces int
+	CachedBlocks int
 	// Weight is from the outlier detector; 0 means 1.
 	Weight float64
 }
@@ -79,7 +79,7 @@
 	Running       int
 	Queued        int
 	Slots         int
-	FreePieces    int
+	FreeKVBlocks  int `json:"FreePieces"`
 	// PrefillRate and DecodeRate are tokens a second when busy with nothing else.
 	PrefillRate, DecodeRate float64
 }
@@ -88,10 +88,10 @@
 type Decision struct {
 	Name string
 	// Expected is the time to the first token, or to the answer's begin.
-	Expected time.Duration
+	ExpectedTTFT time.Duration
 	// Wait is the part of Expected spent in the queue.
-	Wait time.Duration
-	Why  string
+	QueueDelay time.Duration
+	Reason     string
 }
 
 // Filter drops candidates that cannot take a request.
@@ -112,7 +112,7 @@
 // Scored is a candidate with its expected time.
 type Scored struct {
 	Candidate
-	Expected time.Duration
+	ExpectedTTFT time.Duration
 }
 
 // Profile is a chain of filters and scorers and one picker.
@@ -143,7 +143,7 @@
 	var scored []Scored
 	for _, c := range candidates {
 		if p.keeps(r, c) {
-			scored = append(scored, Scored{Candidate: c, Expected: p.score(r, c)})
+			scored = append(scored, Scored{Candidate: c, ExpectedTTFT: p.score(r, c)})
 		}
 	}
 	if len(scored) == 0 {
--- a/internal/decide/route/route_test.go
+++ b/internal/decide/route/route_test.go
@@ -63,14 +63,14 @@
 	// elsewhere, the booker waits four seconds for what was there already.
 	It("goes where the prompt is cached", func() {
 		a, b := engine("a"), engine("b")
-		b.CachedPieces = 19
+		b.CachedBlocks = 19
 		b.Load.QueuedTokens = 10_000
 		Expect(shares(draft(40_000), []route.Candidate{a, b})["b"]).To(BeNumerically(">", 0.99))
 	})
 
 	It("leaves a hot engine once its queue costs more than the prefill", func() {
 		a, b := engine("a"), engine("b")
-		b.CachedPieces = 1
+		b.CachedBlocks = 1
 		b.Load.QueuedTokens = 10_000
 		Expect(shares(draft(2_500), []route.Candidate{a, b})["a"]).To(BeNumerically(">", 0.99))
 	})
@@ -103,7 +103,7 @@
 
 	It("lets a decode engine prefill only what it has leave to", func() {
 		decode := engine("decode")
-		decode.Role, decode.SpillPrompt = route.Decode, 2_000
+		decode.Role, decode.MaxSpilloverPrompt = route.Decode, 2_000
 		_, ok := route.Pick(newRand(), draft(1_500), []route.Candidate{decode})
 		Expect(ok).To(BeTrue())
 		_, ok = route.Pick(newRand(), draft(2_500), []route.Candidate{decode})
@@ -115,9 +115,9 @@
 	// A report comes each second. Within it an entry could send a hundred
 	// prompts to the engine that was idle when it reported.
 	It("adds what was sent since the report", func() {
-		p := route.NewPicture()
+		p := route.NewLoadTracker()
 		p.Report(start, "a", route.Load{QueuedTokens: 1_000})
-		p.Sent(at(time.Second), "a", "1", 5_000)
+		p.AddRequest(at(time.Second), "a", "1", 5_000)
 		l, age, ok := p.Load(at(2*time.Second), "a")
 		Expect(ok).To(BeTrue())
 		Expect(l.QueuedTokens).To(Equal(6_000))
@@ -126,13 +126,13 @@
 		p.Report(at(1500*time.Millisecond), "a", route.Load{QueuedTokens: 6_000})
 		l, _, _ = p.Load(at(2*time.Second), "a")
 		Expect(l.QueuedTokens).To(Equal(6_000), "the report has it now")
-		p.Done(at(2*time.Second), "a", "1")
+		p.RemoveRequest(at(2*time.Second), "a", "1")
 		l, _, _ = p.Load(at(2*time.Second), "a")
 		Expect(l.QueuedTokens).To(Equal(1_000))
 	})
 
 	It("drops a report that is older than the last", func() {
-		p := route.NewPicture()
+		p := route.NewLoadTracker()
 		p.Report(at(time.Second), "a", route.Load{QueuedTokens: 1})
 		p.Report(start, "a", route.Load{QueuedTokens: 2})
 		l, _, _ := p.Load(at(time.Second), "a")
@@ -145,43 +145,43 @@
 
 	It("counts leading pieces only", func() {
 		x := route.NewPrefixIndex(0)
-		x.Stored(start, "a", pieces)
-		x.Stored(start, "b", pieces[1:])
-		Expect(x.Cached(start, pieces)).To(Equal(map[string]int{"a": 3}))
-		x.Evicted("a", pieces[1:2])
-		Expect(x.Cached(start, pieces)).To(Equal(map[string]int{"a": 1}))
+		x.AddStored(start, "a", pieces)
+		x.AddStored(start, "b", pieces[1:])
+		Expect(x.CachedBlocks(start, pieces)).To(Equal(map[string]int{"a": 3}))
+		x.RemoveEvicted("a", pieces[1:2])
+		Expect(x.CachedBlocks(start, pieces)).To(Equal(map[string]int{"a": 1}))
 	})
 
 	// Events are lost and with them an eviction. Held for true, the entry
 	// would send each such prompt to an engine that has to prefill it anew.
 	It("stops believing in what a gap may have hidden", func() {
 		x := route.NewPrefixIndex(0)
-		x.Stored(start, "a", pieces)
-		x.Gap(start, "a")
-		Expect(x.Cached(at(time.Second), pieces)).To(HaveKeyWithValue("a", 3))
-		Expect(x.Cached(at(time.Minute), pieces)).To(BeEmpty())
+		x.AddStored(start, "a", pieces)
+		x.EventsLost(start, "a")
+		Expect(x.CachedBlocks(at(time.Second), pieces)).To(HaveKeyWithValue("a", 3))
+		Expect(x.CachedBlocks(at(time.Minute), pieces)).To(BeEmpty())
 	})
 
 	// Events go on being lost, one gap after the other. Each must not renew
 	// what the first has put in doubt.
 	It("stops believing also when gap follows on gap", func() {
 		x := route.NewPrefixIndex(0)
-		x.Stored(start, "a", pieces)
+		x.AddStored(start, "a", pieces)
 		for i := range 30 {
-			x.Gap(at(time.Duration(i)*time.Second), "a")
+			x.EventsLost(at(time.Duration(i)*time.Second), "a")
 		}
-		Expect(x.Cached(at(30*time.Second), pieces)).To(BeEmpty())
-		x.Stored(at(31*time.Second), "a", pieces)
-		Expect(x.Cached(at(32*time.Second), pieces)).To(HaveKeyWithValue("a", 3))
+		Expect(x.CachedBlocks(at(30*time.Second), pieces)).To(BeEmpty())
+		x.AddStored(at(31*time.Second), "a", pieces)
+		Expect(x.CachedBlocks(at(32*time.Second), pieces)).To(HaveKeyWithValue("a", 3))
 	})
 
 	It("stays within its bound and keeps the newest", func() {
 		x := route.NewPrefixIndex(100)
 		for i := range uint64(10_000) {
-			x.Stored(start, "a", []uint64{i})
+			x.AddStored(start, "a", []uint64{i})
 		}
 		Expect(x.Len()).To(Equal(100))
-		Expect(x.Cached(start, []uint64{9_999})).To(HaveLen(1))
+		Expect(x.CachedBlocks(start, []uint64{9_999})).To(HaveLen(1))
 	})
 
 	It("chains hashes, so that equal pieces after unequal ones differ", func() {
@@ -197,7 +197,7 @@
 // letter's size, with the corrected load of each.
 func BenchmarkPick(b *testing.B) {
 	const runners = 100
-	p := route.NewPicture()
+	p := route.NewLoadTracker()
 	for i := range runners {
 		p.Report(start, fmt.Sprint(i), route.Load{PrefillRate: 10_000, Slots: 64})
 	}
--- a/internal/decide/route/score_prefill.go
+++ b/internal/decide/route/score_prefill.go
@@ -15,5 +15,5 @@
 
 // uncached leaves at least one token: the last one is always computed.
 func uncached(r Request, c Candidate) int {
-	return max(1, r.PromptTokens-KVBlockTokens*c.CachedPieces)
+	return max(1, r.PromptTokens-KVBlockTokens*c.CachedBlocks)
 }
--- a/internal/decide/shift/goodput.go
+++ b/internal/decide/shift/goodput.go
@@ -90,14 +90,14 @@
 	return move{gain: moves[0].gain}
 }
 
-func (p *Planner) spill(c counts, f Fleet) Spill {
+func (p *Planner) spill(c counts, f Fleet) Spillover {
 	n := p.needOf(f)
 	decode, prefill := p.useMixed(float64(c.mixed), float64(c.decode), float64(c.prefill), n)
 	taken := p.spilled(decode, prefill, n)
 	if taken <= 0 {
-		return Spill{}
+		return Spillover{}
 	}
-	return Spill{MaxPromptTokens: p.cfg.SpillPrompt, Share: p.cfg.SpillShare, TokenGap: p.cfg.TokenGap}
+	return Spillover{MaxPromptTokens: p.cfg.SpillPrompt, MaxTimeShare: p.cfg.SpillShare, MaxInterTokenLatency: p.cfg.TokenGap}
 }
 
 func why(to Role, loss, price float64) string {
--- a/internal/decide/shift/meter.go
+++ b/internal/decide/shift/meter.go
@@ -12,32 +12,32 @@
 
 // Meter turns requests into smoothed rates: the demand that one entry sees. The
 // planner adds up what the entries report.
-type Meter struct {
+type DemandMeter struct {
 	window                 time.Duration
 	at                     time.Time
 	prefill, short, decode float64
 }
 
 // NewMeter returns a Meter; a window of 0 means DefaultMeterWindow.
-func NewMeter(window time.Duration) *Meter {
+func NewDemandMeter(window time.Duration) *DemandMeter {
 	if window <= 0 {
 		window = DefaultMeterWindow
 	}
-	return &Meter{window: window}
+	return &DemandMeter{window: window}
 }
 
 // Add takes in one request offered, admitted or not.
-func (m *Meter) Add(now time.Time, uncachedTokens, outputTokens int) {
+func (m *DemandMeter) Add(now time.Time, uncachedTokens, outputTokens int) {
 	m.decay(now)
 	m.prefill += float64(uncachedTokens)
 	m.decode += float64(outputTokens)
-	if uncachedTokens <= DefaultSpillPrompt {
+	if uncachedTokens <= DefaultMaxSpilloverPrompt {
 		m.short += float64(uncachedTokens)
 	}
 }
 
 // Demand returns the rates now, without backlogs.
-func (m *Meter) Demand(now time.Time) Demand {
+func (m *DemandMeter) Demand(now time.Time) Demand {
 	m.decay(now)
 	seconds := m.window.Seconds()
 	return Demand{
@@ -58,7 +58,7 @@
 	}
 }
 
-func (m *Meter) decay(now time.Time) {
+func (m *DemandMeter) decay(now time.Time) {
 	dt := now.Sub(m.at)
 	if m.at.IsZero() || dt < 0 {
 		m.at = now
--- a/internal/decide/shift/shift.go
+++ b/internal/decide/shift/shift.go
@@ -56,13 +56,13 @@
 	DefaultDecodeHeadroom  = 0.3
 	// DefaultSpillPrompt is the longest prompt, in uncached tokens, that a
 	// decode engine prefills: at a share of a half it is done in two seconds.
-	DefaultSpillPrompt = 8_000
+	DefaultMaxSpilloverPrompt = 8_000
 	// DefaultSpillShare is the most of its time that a decode engine spends
 	// on such prefills. A small batch leaves that much: see Spill.ShareFor.
-	DefaultSpillShare = 0.6
+	DefaultMaxSpilloverShare = 0.6
 	// DefaultTokenGap is the time between tokens that prefills may stretch
 	// the streams of a decode engine to: the 31 ms of the service level.
-	DefaultTokenGap = 31 * time.Millisecond
+	DefaultMaxInterTokenLatency = 31 * time.Millisecond
 	// maxStep bounds the time that one step accounts for: after a pause or an
 	// outage of the store nothing is known about the time between.
 	maxStep = 5 * time.Second
@@ -96,7 +96,7 @@
 	// Changing engines are on their way to Role.
 	Changing bool
 	// Since is when the role was last set.
-	Since time.Time
+	RoleSince time.Time
 	// QueuedTokens breaks ties: the idlest engine changes.
 	QueuedTokens int
 	// Speed is the engine's measured rate over that of its peers; 0 means 1.
@@ -135,33 +135,33 @@
 type Change struct {
 	Name     string
 	From, To Role
-	Why      string
+	Reason   string
 }
 
 // Spill tells decode engines to take prefills.
-type Spill struct {
+type Spillover struct {
 	// MaxPromptTokens is the longest such prompt; 0 means none.
 	MaxPromptTokens int
 	// Share of its time is the most that a decode engine spends on them.
-	Share float64
+	MaxTimeShare float64
 	// TokenGap is the time between tokens that they may stretch streams to.
-	TokenGap time.Duration
+	MaxInterTokenLatency time.Duration
 }
 
 // ShareFor returns the share of its time that a decode engine may spend on
 // prefills while one step of its batch takes the given time. Without it, a
 // full batch would be stretched past the service level.
-func (s Spill) ShareFor(step time.Duration) float64 {
-	if s.TokenGap <= 0 {
-		return s.Share
+func (s Spillover) TimeShareFor(step time.Duration) float64 {
+	if s.MaxInterTokenLatency <= 0 {
+		return s.MaxTimeShare
 	}
-	return max(0, min(s.Share, 1-float64(step)/float64(s.TokenGap)))
+	return max(0, min(s.MaxTimeShare, 1-float64(step)/float64(s.MaxInterTokenLatency)))
 }
 
 // Decision is the outcome of one step.
 type Decision struct {
-	Changes []Change
-	Spill   Spill
+	Changes   []Change
+	Spillover Spillover
 }
 
 // Planner holds the loss summed up for each direction, in engine-seconds of
@@ -182,9 +182,9 @@
 	cfg.PrefillHeadroom = cmp.Or(cfg.PrefillHeadroom, DefaultPrefillHeadroom)
 	cfg.DecodeHeadroom = cmp.Or(cfg.DecodeHeadroom, DefaultDecodeHeadroom)
 	cfg.LeastPerRole = cmp.Or(cfg.LeastPerRole, 1)
-	cfg.SpillPrompt = cmp.Or(cfg.SpillPrompt, DefaultSpillPrompt)
-	cfg.SpillShare = cmp.Or(cfg.SpillShare, DefaultSpillShare)
-	cfg.TokenGap = cmp.Or(cfg.TokenGap, DefaultTokenGap)
+	cfg.SpillPrompt = cmp.Or(cfg.SpillPrompt, DefaultMaxSpilloverPrompt)
+	cfg.SpillShare = cmp.Or(cfg.SpillShare, DefaultMaxSpilloverShare)
+	cfg.TokenGap = cmp.Or(cfg.TokenGap, DefaultMaxInterTokenLatency)
 	return &Planner{cfg: cfg, loss: make(map[Role]float64)}
 }
 
@@ -193,7 +193,7 @@
 func (p *Planner) Step(now time.Time, f Fleet) Decision {
 	dt := p.elapsed(now)
 	c := count(f.Engines)
-	d := Decision{Spill: p.spill(c, f)}
+	d := Decision{Spillover: p.spill(c, f)}
 	n := p.needOf(f)
 	for _, to := range []Role{Prefill, Decode} {
 		m := p.best(c, n, to)
@@ -254,7 +254,7 @@
 	room := min(m.engines, p.cfg.MaxInFlight-c.changing, c.of(from)-p.cfg.LeastPerRole, len(ready))
 	var changes []Change
 	for _, e := range ready[:max(0, room)] {
-		changes = append(changes, Change{Name: e.Name, From: from, To: to, Why: why(to, p.loss[to], price)})
+		changes = append(changes, Change{Name: e.Name, From: from, To: to, Reason: why(to, p.loss[to], price)})
 	}
 	return changes
 }
@@ -266,7 +266,7 @@
 func (p *Planner) candidates(now time.Time, engines []Engine, from Role) []Engine {
 	var ready []Engine
 	for _, e := range engines {
-		if e.Role == from && e.Movable && !e.Changing && now.Sub(e.Since) >= p.cfg.Dwell {
+		if e.Role == from && e.Movable && !e.Changing && now.Sub(e.RoleSince) >= p.cfg.Dwell {
 			ready = append(ready, e)
 		}
 	}
--- a/internal/decide/shift/shift_test.go
+++ b/internal/decide/shift/shift_test.go
@@ -58,7 +58,7 @@
 	f.changes++
 	for i, e := range f.engines {
 		if e.Name == c.Name {
-			f.engines[i].Role, f.engines[i].Changing, f.engines[i].Since = c.To, true, at(t)
+			f.engines[i].Role, f.engines[i].Changing, f.engines[i].RoleSince = c.To, true, at(t)
 			f.readyAt[e.Name] = t + shift.DefaultChangeTime
 		}
 	}
@@ -133,8 +133,8 @@
 		d.ShortPrefillTokens = d.PrefillTokens
 		out := p.Step(start, shift.Fleet{Engines: newFleet(4, 8).engines, Demand: d, Capacity: capacity})
 		Expect(out.Changes).To(BeEmpty())
-		Expect(out.Spill.MaxPromptTokens).To(Equal(shift.DefaultSpillPrompt))
-		Expect(out.Spill.Share).To(And(BeNumerically(">", 0), BeNumerically("<=", shift.DefaultSpillShare)))
+		Expect(out.Spillover.MaxPromptTokens).To(Equal(shift.DefaultMaxSpilloverPrompt))
+		Expect(out.Spillover.MaxTimeShare).To(And(BeNumerically(">", 0), BeNumerically("<=", shift.DefaultMaxSpilloverShare)))
 	})
 
 	// Reports go wrong and say that nobody decodes. With the last decode
--- a/internal/direct/direct.go
+++ b/internal/direct/direct.go
@@ -191,7 +191,7 @@
 			return nil, x.failRead(err)
 		}
 		a := x.transport.codec.ParseResponse(resp.StatusCode, resp.Header)
-		if a.ID == x.request.ID || (a.ID == "" && a.NotRun && !x.extra) {
+		if a.RequestID == x.request.ID || (a.RequestID == "" && a.NotRun && !x.extra) {
 			x.transport.OnAnswer(Answered{ResponseHead: a, Server: x.options.Server, Stage: x.options.Stage, Sent: x.sent})
 			return x.reply(resp, a), nil
 		}
@@ -218,7 +218,7 @@
 
 func (x *exchange) reply(resp *http.Response, a request.ResponseHead) *Reply {
 	x.keep = !resp.Close && !x.extra && resp.ContentLength >= -1 && !endsWithConnection(resp)
-	x.conn.keepFor = a.KeepFor
+	x.conn.keepFor = a.IdleTimeout
 	return &Reply{ResponseHead: a, Length: resp.ContentLength, Body: &body{ReadCloser: resp.Body, exchange: x}}
 }
 
@@ -240,7 +240,7 @@
 
 func (x *exchange) fail(v verdict.Verdict, step string, err error) error {
 	x.end(false)
-	return verdict.New(v, verdict.CodeBackend, step+": "+err.Error())
+	return verdict.New(v, verdict.CodeBackendFailed, step+": "+err.Error())
 }
 
 // end gives the connection back, or closes it.
--- a/internal/directory/model_test.go
+++ b/internal/directory/model_test.go
@@ -91,7 +91,7 @@
 	var d datagram
 	m.datagrams, d = take(m.datagrams, last)
 	d.told.Age += m.now - d.sent
-	m.covered.Relayed(at(m.now), d.told)
+	m.covered.RemoteConfirmation(at(m.now), d.told)
 	return true
 }
 
--- a/internal/directory/relay.go
+++ b/internal/directory/relay.go
@@ -62,7 +62,7 @@
 // watch of each gateway they grow with the fleet. A few gateways watch; the
 // others believe them as long as a confirmation is fresh, and fetch what is
 // newer than they know.
-func (d *Directory) Relayed(now time.Time, c Confirmation) {
+func (d *Directory) RemoteConfirmation(now time.Time, c Confirmation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := d.state
@@ -116,7 +116,7 @@
 
 // RelayedEntry takes in a change of an entry that another gateway has seen. If
 // one before it was lost, the next confirmation finds this gateway behind.
-func (d *Directory) RelayedEntry(now time.Time, c Change) {
+func (d *Directory) RemoteServerChange(now time.Time, c Change) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.serverEvent(now, c.Event)
--- a/internal/directory/relay_test.go
+++ b/internal/directory/relay_test.go
@@ -151,7 +151,7 @@
 	})
 
 	It("makes no calls while others confirm what it knows, and fetches what is newer", func() {
-		d.Relayed(time.Now(), Confirmation{ConfigRevision: 5})
+		d.RemoteConfirmation(time.Now(), Confirmation{ConfigRevision: 5})
 		time.Sleep(60 * time.Millisecond)
 		lists, watches := s.reads()
 		time.Sleep(200 * time.Millisecond)
@@ -159,7 +159,7 @@
 		Expect(listsAfter).To(Equal(lists))
 		Expect(watchesAfter).To(Equal(watches))
 		s.set(9)
-		d.Relayed(time.Now(), Confirmation{ConfigRevision: 9})
+		d.RemoteConfirmation(time.Now(), Confirmation{ConfigRevision: 9})
 		Eventually(func() int64 { return d.View().TableRevision }).Should(BeEquivalentTo(9))
 	})
 
@@ -170,7 +170,7 @@
 	It("lists once nobody confirms any more, and does not watch first", func() {
 		s.hang(true)
 		s.set(9)
-		d.Relayed(time.Now().Add(-coverFor+100*time.Millisecond), Confirmation{ConfigRevision: 5})
+		d.RemoteConfirmation(time.Now().Add(-coverFor+100*time.Millisecond), Confirmation{ConfigRevision: 5})
 		Eventually(func() int64 { return d.View().TableRevision }).WithTimeout(2 * time.Second).Should(BeEquivalentTo(9))
 	})
 
@@ -178,7 +178,7 @@
 	// hear no fresh confirmation any more and must see the next change
 	// themselves, within the time that a configuration may take.
 	It("watches by itself once nobody confirms any more", func() {
-		d.Relayed(time.Now().Add(-coverFor+100*time.Millisecond), Confirmation{ConfigRevision: 5})
+		d.RemoteConfirmation(time.Now().Add(-coverFor+100*time.Millisecond), Confirmation{ConfigRevision: 5})
 		s.set(9)
 		Eventually(func() int64 { return d.View().TableRevision }).WithTimeout(2 * time.Second).Should(BeEquivalentTo(9))
 	})
@@ -186,7 +186,7 @@
 	// A gateway that watches was suspended, and its clock with it. It wakes and
 	// confirms as fresh what is long out of date.
 	It("does not believe a confirmation of less than it knows", func() {
-		d.Relayed(time.Now(), Confirmation{ConfigRevision: 4})
+		d.RemoteConfirmation(time.Now(), Confirmation{ConfigRevision: 4})
 		Expect(d.covered()).To(BeFalse())
 	})
 })
@@ -197,7 +197,7 @@
 		d *Directory
 	)
 	confirm := func(revision int64) {
-		d.Relayed(time.Now(), Confirmation{ConfigRevision: 0, ServersRevision: revision})
+		d.RemoteConfirmation(time.Now(), Confirmation{ConfigRevision: 0, ServersRevision: revision})
 	}
 	follow := func() {
 		d = New(s, plainDecoder{}, Kinds{Config: "config", ConfigName: "main", Servers: "servers"})
@@ -246,7 +246,7 @@
 		lost := s.change("a", "leaving")
 		heard := s.change("b", "y")
 		lists, _ := s.reads()
-		d.RelayedEntry(time.Now(), Change{Event: heard, After: lost.Object.Revision})
+		d.RemoteServerChange(time.Now(), Change{Event: heard, After: lost.Object.Revision})
 		confirm(heard.Object.Revision)
 		Eventually(func() bool { return d.View().Servers["a"].Draining }).Should(BeTrue())
 		after, _ := s.reads()
@@ -293,7 +293,7 @@
 		d.locked(func() { d.OnChange = func(*View) { published++ } })
 		for n := range 500 {
 			e := s.change(strconv.Itoa(n), "x")
-			d.RelayedEntry(time.Now(), Change{Event: e, After: e.Object.Revision - 1})
+			d.RemoteServerChange(time.Now(), Change{Event: e, After: e.Object.Revision - 1})
 		}
 		Eventually(func() int { return len(d.View().Servers) }).Should(Equal(501))
 		most := int(time.Since(began)/publishEvery) + 2
@@ -307,7 +307,7 @@
 		settle(first.Object.Revision)
 		before := reads()
 		next := s.change("a", "leaving")
-		d.RelayedEntry(time.Now(), Change{Event: next, After: first.Object.Revision})
+		d.RemoteServerChange(time.Now(), Change{Event: next, After: first.Object.Revision})
 		confirm(next.Object.Revision)
 		Eventually(func() bool { return d.View().Servers["a"].Draining }).Should(BeTrue())
 		time.Sleep(50 * time.Millisecond)
@@ -327,7 +327,7 @@
 		go func() { _ = d.FollowConfig(ctx) }()
 		go func() { _ = d.FollowServers(ctx) }()
 		Eventually(func() bool { _, ok := d.Confirmation(time.Now()); return ok }).Should(BeTrue())
-		d.Relayed(time.Now(), Confirmation{ConfigRevision: 5})
+		d.RemoteConfirmation(time.Now(), Confirmation{ConfigRevision: 5})
 		Expect(d.covered()).To(BeFalse())
 		_, ok = d.Confirmation(time.Now().Add(coverFor + time.Second))
 		Expect(ok).To(BeFalse())
--- a/internal/directory/told_test.go
+++ b/internal/directory/told_test.go
@@ -95,7 +95,7 @@
 // confirming has other gateways confirm for a time.
 func confirming(d *Directory, c Confirmation, lasting time.Duration) {
 	for range lasting / confirmed {
-		d.Relayed(time.Now(), c)
+		d.RemoteConfirmation(time.Now(), c)
 		time.Sleep(confirmed)
 	}
 }
@@ -142,7 +142,7 @@
 				time.Sleep(untilChange)
 				s.change()
 				time.Sleep(untilTold)
-				d.Relayed(time.Now(), c.told)
+				d.RemoteConfirmation(time.Now(), c.told)
 				time.Sleep(untilKnown)
 				if !c.knows(d.View()) {
 					t.Errorf("a change that another gateway named %v ago is not known", untilKnown)
@@ -185,7 +185,7 @@
 	followed(t, s, (*Directory).FollowServers, func(d *Directory) {
 		confirming(d, Confirmation{ServersRevision: 1}, settling)
 		s.change()
-		d.Relayed(time.Now(), Confirmation{ServersRevision: 2})
+		d.RemoteConfirmation(time.Now(), Confirmation{ServersRevision: 2})
 		time.Sleep(untilKnown)
 		d.locked(func() {
 			if d.state.serversKnown != 2 {
@@ -255,7 +255,7 @@
 			time.Sleep(5 * time.Second)
 			s.set(false, false)
 			told := time.Now()
-			d.Relayed(told, Confirmation{ConfigRevision: 1})
+			d.RemoteConfirmation(told, Confirmation{ConfigRevision: 1})
 			time.Sleep(longestPause)
 			lists := s.listTimes()
 			if len(lists) == 0 || lists[0].After(told) {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -99,8 +99,8 @@
 	Slots         int     `json:"slots"`
 	QueuedTokens  int     `json:"queued_tokens"`
 	RunningTokens int     `json:"running_tokens"`
-	PiecesUsed    int     `json:"pieces_used"`
-	Pieces        int     `json:"pieces"`
+	KVBlocksUsed  int     `json:"pieces_used"`
+	KVBlocks      int     `json:"pieces"`
 	PrefillRate   float64 `json:"prefill_rate"`
 	DecodeRate    float64 `json:"decode_rate"`
 }
--- a/internal/entry/api/api.go
+++ b/internal/entry/api/api.go
@@ -104,7 +104,7 @@
 		defer a.inFlight.Add(-1)
 		if a.inFlight.Add(1) > int64(a.settings.Limits.InFlight) {
 			fullRefusals.Inc(1)
-			writeError(w, id.String(), verdict.Refused(verdict.CodeOverloaded, "the entry holds too many requests", fullRetryAfter))
+			writeError(w, id.String(), verdict.NewRejection(verdict.CodeOverloaded, "the entry holds too many requests", fullRetryAfter))
 			return
 		}
 		h(w, r, id)
@@ -132,7 +132,7 @@
 
 // values returns the fleet configuration for a service and model.
 func (a *API) values(service, model string) fleetconfig.Values {
-	return a.views.View().Values(service, model, time.Now())
+	return a.views.View().ConfigValues(service, model, time.Now())
 }
 
 func deadlineOf(values fleetconfig.Values) time.Duration {
--- a/internal/entry/api/api_test.go
+++ b/internal/entry/api/api_test.go
@@ -84,7 +84,7 @@
 func brokenAfter(piece string) func(serve.Sink) {
 	return func(sink serve.Sink) {
 		_ = sink.Deliver([]byte(piece), 1)
-		sink.Fail(verdict.New(verdict.MayHaveRun, verdict.CodeBroken, "gone"))
+		sink.Fail(verdict.New(verdict.MayHaveRun, verdict.CodeAnswerBroken, "gone"))
 	}
 }
 
@@ -188,7 +188,7 @@
 		Entry("no messages", "/v1/chat/completions", `{"model":"draft","messages":[]}`, nil, 400, verdict.CodeBadRequest),
 		Entry("null messages", "/v1/chat/completions", `{"model":"draft","messages":null}`, nil, 400, verdict.CodeBadRequest),
 		Entry("unknown model", "/v1/completions", `{"model":"other","prompt":"x"}`, nil, 404, verdict.CodeUnknownModel),
-		Entry("unknown service", "/services/other/x", ``, nil, 404, verdict.CodeUnknownTarget),
+		Entry("unknown service", "/services/other/x", ``, nil, 404, verdict.CodeUnknownService),
 		Entry("unknown path", "/v2/completions", ``, nil, 404, verdict.CodeBadRequest),
 		Entry("too large", "/v1/completions", `{"model":"draft","prompt":"`+strings.Repeat("x", 5<<10)+`"}`, nil, 413, verdict.CodeTooLarge),
 		Entry("bad timeout", "/v1/completions", `{"model":"draft","prompt":"x"}`,
--- a/internal/entry/api/errors.go
+++ b/internal/entry/api/errors.go
@@ -82,21 +82,21 @@
 		return http.StatusRequestEntityTooLarge
 	case verdict.CodeSlowBody:
 		return http.StatusRequestTimeout
-	case verdict.CodeUnknownModel, verdict.CodeUnknownTarget:
+	case verdict.CodeUnknownModel, verdict.CodeUnknownService:
 		return http.StatusNotFound
 	case verdict.CodeAccountLimit:
 		return http.StatusTooManyRequests
-	case verdict.CodeOverloaded, verdict.CodeNoBackend, verdict.CodeDraining, verdict.CodeStore:
+	case verdict.CodeOverloaded, verdict.CodeNoBackend, verdict.CodeDraining, verdict.CodeStoreUnavailable:
 		return http.StatusServiceUnavailable
-	case verdict.CodeDeadline:
+	case verdict.CodeDeadlineExceeded:
 		return http.StatusGatewayTimeout
 	case verdict.CodeCancelled:
 		return statusClientClosed
-	case verdict.CodeKeyInUse:
+	case verdict.CodeKeyInProgress:
 		return http.StatusConflict
 	case verdict.CodeKeyReused:
 		return http.StatusUnprocessableEntity
-	case verdict.CodeUnknownResult, verdict.CodeBackend, verdict.CodeBroken:
+	case verdict.CodeOutcomeUnknown, verdict.CodeBackendFailed, verdict.CodeAnswerBroken:
 		return http.StatusBadGateway
 	default:
 		return http.StatusInternalServerError
--- a/internal/entry/api/services.go
+++ b/internal/entry/api/services.go
@@ -24,7 +24,7 @@
 	name := r.PathValue("service")
 	service, ok := a.settings.Services[name]
 	if !ok {
-		refuse(w, id, verdict.New(verdict.NotRun, verdict.CodeUnknownTarget, "no such service: "+name))
+		refuse(w, id, verdict.New(verdict.NotRun, verdict.CodeUnknownService, "no such service: "+name))
 		return
 	}
 	body, err := a.readBody(w, r)
--- a/internal/entry/call/attempt.go
+++ b/internal/entry/call/attempt.go
@@ -75,7 +75,7 @@
 	m.waitEnd = time.Time{}
 	if len(m.text)+len(m.cur.held)+len(c.GetData()) > m.spec.MaxAnswer {
 		m.cancel()
-		m.fail(verdict.New(verdict.MayHaveRun, verdict.CodeBroken, "the answer is too large"))
+		m.fail(verdict.New(verdict.MayHaveRun, verdict.CodeAnswerBroken, "the answer is too large"))
 		return
 	}
 	if m.cur.prefill {
@@ -183,8 +183,8 @@
 // isFinal reports whether another backend server would refuse as well.
 func isFinal(err *verdict.Error) bool {
 	switch err.Code {
-	case verdict.CodeBadRequest, verdict.CodeTooLarge, verdict.CodeKeyInUse, verdict.CodeKeyReused,
-		verdict.CodeDeadline, verdict.CodeCancelled, verdict.CodeStore:
+	case verdict.CodeBadRequest, verdict.CodeTooLarge, verdict.CodeKeyInProgress, verdict.CodeKeyReused,
+		verdict.CodeDeadlineExceeded, verdict.CodeCancelled, verdict.CodeStoreUnavailable:
 		return true
 	default:
 		return err.Verdict == verdict.Ran
@@ -210,7 +210,7 @@
 	m.lastErr = err
 	retries.Inc(1)
 	m.explain("tried again", "attempt at "+m.cur.server+": "+err.Error())
-	retry := &Retry{NotRun: notRun, Sent: m.cur.sent, Planned: err.Code == verdict.CodeDraining}
+	retry := &Retry{NotRun: notRun, Sent: m.cur.sent, ServerDraining: err.Code == verdict.CodeDraining}
 	if m.spec.Keyed {
 		m.againKeyed(now, err, retry)
 		return
--- a/internal/entry/call/call.go
+++ b/internal/entry/call/call.go
@@ -137,7 +137,7 @@
 }
 
 // Next returns when the next Timer event is due.
-func (m *Machine) Next() time.Time {
+func (m *Machine) NextTimer() time.Time {
 	next := m.spec.Deadline
 	if m.expiring {
 		next = m.spec.Deadline.Add(DeadlineGrace)
@@ -174,7 +174,7 @@
 		m.routed(now, e)
 	case Unroutable:
 		m.unroutable(now, e)
-	case CallerGone:
+	case CallerDisconnected:
 		m.callerGone()
 	case Timer:
 		m.timer(now)
@@ -210,7 +210,7 @@
 		m.final(now, e.Frame)
 	case Refusal:
 		m.refused(now, e.Frame)
-	case LinkLost:
+	case StreamLost:
 		m.cur.lost = true
 		m.outcomeUnknown(now, "its stream ended")
 	case LinkSilent:
@@ -227,7 +227,7 @@
 func (m *Machine) emit(e Effect) { m.effects = append(m.effects, e) }
 
 func (m *Machine) explain(decision, why string) {
-	m.emit(Explain{Decision: decision, Why: why})
+	m.emit(Explain{Decision: decision, Reason: why})
 }
 
 func (m *Machine) timer(now time.Time) {
--- a/internal/entry/call/call_test.go
+++ b/internal/entry/call/call_test.go
@@ -145,7 +145,7 @@
 		f := newFixture(call.Spec{Resumable: true})
 		f.sendTo("a")
 		f.step(call.Chunk{Attempt: 1, Frame: chunk(requestID, 1, 0, "x")})
-		f.step(call.LinkLost{Attempt: 1})
+		f.step(call.StreamLost{Attempt: 1})
 		f.step(call.ResolveFailed{Attempt: 1})
 		route, ok := effectOf[call.Route](f)
 		Expect(ok).To(BeTrue())
@@ -181,8 +181,8 @@
 			RequestId: requestID[:], Attempt: 1, Code: string(verdict.CodeNoBackend), RetryAfterMs: 100,
 		}})
 		Expect(f.effects).NotTo(ContainElement(BeAssignableToTypeOf(call.Route{})))
-		Expect(f.machine.Next()).To(Equal(begin.Add(100 * time.Millisecond)))
-		f.now = f.machine.Next()
+		Expect(f.machine.NextTimer()).To(Equal(begin.Add(100 * time.Millisecond)))
+		f.now = f.machine.NextTimer()
 		f.step(call.Timer{})
 		route, ok := effectOf[call.Route](f)
 		Expect(ok).To(BeTrue())
@@ -195,7 +195,7 @@
 		f := newFixture(call.Spec{Resumable: true})
 		later := func() {
 			f.step(call.Unroutable{
-				Attempt: f.machine.Attempt(), Err: verdict.Refused(verdict.CodeNoBackend, "changing", 0), RetryIn: call.WaitMin,
+				Attempt: f.machine.Attempt(), Err: verdict.NewRejection(verdict.CodeNoBackend, "changing", 0), RetryIn: call.WaitMin,
 			})
 		}
 		later()
@@ -216,7 +216,7 @@
 	It("does not believe a restarted sidecar that a request did not run", func() {
 		f := newFixture(call.Spec{})
 		f.sendTo("a")
-		f.step(call.LinkLost{Attempt: 1})
+		f.step(call.StreamLost{Attempt: 1})
 		f.resolve(wire.Outcome_OUTCOME_NOT_RUN, "life-2")
 		Expect(f.failure().Verdict).To(Equal(verdict.MayHaveRun))
 	})
@@ -239,7 +239,7 @@
 		f.step(call.LinkSilent{Attempt: 1})
 		f.step(call.ResolveFailed{Attempt: 1})
 		f.sendTo("b")
-		f.step(call.LinkLost{Attempt: 1})
+		f.step(call.StreamLost{Attempt: 1})
 		Expect(f.effects).To(BeEmpty())
 	})
 
@@ -260,7 +260,7 @@
 		f.sendTo("a")
 		f.step(call.LinkSilent{Attempt: 1})
 		f.resolve(wire.Outcome_OUTCOME_RUNNING, "life-1")
-		f.now = f.machine.Next()
+		f.now = f.machine.NextTimer()
 		f.step(call.Timer{})
 		_, asks := effectOf[call.Resolve](f)
 		Expect(asks).To(BeTrue())
@@ -282,12 +282,12 @@
 		f := newFixture(call.Spec{Resumable: true})
 		f.sendTo("a")
 		f.step(call.Chunk{Attempt: 1, Frame: chunk(requestID, 1, 0, "one ")})
-		f.step(call.LinkLost{Attempt: 1})
+		f.step(call.StreamLost{Attempt: 1})
 		f.resolve(wire.Outcome_OUTCOME_RUNNING, "life-1")
 		start, _ := effectOf[call.SendStart](f)
 		Expect(start.ResumeFrom).To(BeEquivalentTo(1))
 		f.step(call.Sent{Attempt: 2, Incarnation: "life-1"})
-		f.step(call.LinkLost{Attempt: 2})
+		f.step(call.StreamLost{Attempt: 2})
 
 		chunks, final := answer(requestID, 2, "one ", "two ")
 		f.step(call.Resolution{Attempt: 2, Frame: &wire.Resolution{
@@ -303,9 +303,9 @@
 	It("tells the worst verdict of all attempts", func() {
 		f := newFixture(call.Spec{Idempotent: true})
 		f.sendTo("a")
-		f.step(call.LinkLost{Attempt: 1})
+		f.step(call.StreamLost{Attempt: 1})
 		f.step(call.ResolveFailed{Attempt: 1})
-		f.step(call.Unroutable{Attempt: 2, Err: verdict.Refused(verdict.CodeNoBackend, "none", time.Second)})
+		f.step(call.Unroutable{Attempt: 2, Err: verdict.NewRejection(verdict.CodeNoBackend, "none", time.Second)})
 		Expect(f.failure().Verdict).To(Equal(verdict.MayHaveRun))
 	})
 
@@ -313,7 +313,7 @@
 	// the decode engine reads the prompt itself.
 	It("lets the decode engine prefill when the prefill engine fails", func() {
 		f := newFixture(call.Spec{Resumable: true})
-		f.step(call.Routed{Attempt: 1, Server: "decode", Prefill: "prefill"})
+		f.step(call.Routed{Attempt: 1, Server: "decode", PrefillServer: "prefill"})
 		start, _ := effectOf[call.SendStart](f)
 		Expect(start.Server).To(Equal("prefill"))
 		Expect(start.PrefillOnly).To(BeTrue())
@@ -325,7 +325,7 @@
 
 	It("passes the ticket of the KV cache to the decode engine", func() {
 		f := newFixture(call.Spec{Resumable: true})
-		f.step(call.Routed{Attempt: 1, Server: "decode", Prefill: "prefill"})
+		f.step(call.Routed{Attempt: 1, Server: "decode", PrefillServer: "prefill"})
 		_, final := answer(requestID, 1)
 		final.Kv = &wire.KVTicket{Id: "kv-1"}
 		f.step(call.Final{Attempt: 1, Frame: final})
@@ -340,12 +340,12 @@
 	It("waits past the deadline for the sidecar's word", func() {
 		f := newFixture(call.Spec{})
 		f.sendTo("a")
-		f.now = f.machine.Next()
+		f.now = f.machine.NextTimer()
 		f.step(call.Timer{})
 		_, cancels := effectOf[call.Cancel](f)
 		Expect(cancels).To(BeTrue())
 		f.step(call.Refusal{Attempt: 1, Frame: &wire.Refusal{
-			RequestId: requestID[:], Attempt: 1, Code: string(verdict.CodeDeadline),
+			RequestId: requestID[:], Attempt: 1, Code: string(verdict.CodeDeadlineExceeded),
 		}})
 		Expect(f.failure().Verdict).To(Equal(verdict.NotRun))
 	})
--- a/internal/entry/call/effect.go
+++ b/internal/entry/call/effect.go
@@ -77,7 +77,7 @@
 	Fail struct{ Err *verdict.Error }
 
 	// Explain is a decision for the log of decisions.
-	Explain struct{ Decision, Why string }
+	Explain struct{ Decision, Reason string }
 )
 
 // Retry describes the attempt that failed before.
@@ -88,7 +88,7 @@
 	Sent bool
 	// Planned says that its backend server is draining. A planned change must
 	// cut no request, so no budget may stand in its way.
-	Planned bool
+	ServerDraining bool
 }
 
 func (Route) isEffect()     {}
--- a/internal/entry/call/event.go
+++ b/internal/entry/call/event.go
@@ -18,9 +18,9 @@
 	// Routed answers a Route effect. Prefill, when set, is the backend server
 	// that computes the KV cache for Server first.
 	Routed struct {
-		Attempt uint32
-		Server  string
-		Prefill string
+		Attempt       uint32
+		Server        string
+		PrefillServer string
 	}
 
 	// Unroutable answers a Route effect: there is no backend server for the
@@ -63,7 +63,7 @@
 	}
 
 	// LinkLost says that the stream of the attempt has ended.
-	LinkLost struct{ Attempt uint32 }
+	StreamLost struct{ Attempt uint32 }
 
 	// LinkSilent says that the connection under the attempt is silent.
 	LinkSilent struct{ Attempt uint32 }
@@ -81,23 +81,23 @@
 	Timer struct{}
 
 	// CallerGone says that the caller no longer waits.
-	CallerGone struct{}
+	CallerDisconnected struct{}
 )
 
-func (Begin) isEvent()         {}
-func (Routed) isEvent()        {}
-func (Unroutable) isEvent()    {}
-func (Sent) isEvent()          {}
-func (NotSent) isEvent()       {}
-func (Chunk) isEvent()         {}
-func (Final) isEvent()         {}
-func (Refusal) isEvent()       {}
-func (LinkLost) isEvent()      {}
-func (LinkSilent) isEvent()    {}
-func (Resolution) isEvent()    {}
-func (ResolveFailed) isEvent() {}
-func (Timer) isEvent()         {}
-func (CallerGone) isEvent()    {}
+func (Begin) isEvent()              {}
+func (Routed) isEvent()             {}
+func (Unroutable) isEvent()         {}
+func (Sent) isEvent()               {}
+func (NotSent) isEvent()            {}
+func (Chunk) isEvent()              {}
+func (Final) isEvent()              {}
+func (Refusal) isEvent()            {}
+func (StreamLost) isEvent()         {}
+func (LinkSilent) isEvent()         {}
+func (Resolution) isEvent()         {}
+func (ResolveFailed) isEvent()      {}
+func (Timer) isEvent()              {}
+func (CallerDisconnected) isEvent() {}
 
 // attemptEvent is an event of an attempt that is in flight.
 type attemptEvent interface {
@@ -110,7 +110,7 @@
 func (e Chunk) attempt() uint32         { return e.Attempt }
 func (e Final) attempt() uint32         { return e.Attempt }
 func (e Refusal) attempt() uint32       { return e.Attempt }
-func (e LinkLost) attempt() uint32      { return e.Attempt }
+func (e StreamLost) attempt() uint32    { return e.Attempt }
 func (e LinkSilent) attempt() uint32    { return e.Attempt }
 func (e Resolution) attempt() uint32    { return e.Attempt }
 func (e ResolveFailed) attempt() uint32 { return e.Attempt }
--- a/internal/entry/call/fail.go
+++ b/internal/entry/call/fail.go
@@ -38,7 +38,7 @@
 }
 
 func (m *Machine) failDeadline() {
-	m.fail(verdict.New(verdict.NotRun, verdict.CodeDeadline, "the deadline of the request has passed"))
+	m.fail(verdict.New(verdict.NotRun, verdict.CodeDeadlineExceeded, "the deadline of the request has passed"))
 }
 
 // fail ends the request. The caller gets the verdict over all attempts: the
@@ -71,8 +71,8 @@
 
 func isTemporary(code verdict.Code) bool {
 	switch code {
-	case verdict.CodeOverloaded, verdict.CodeNoBackend, verdict.CodeDraining, verdict.CodeStore,
-		verdict.CodeBackend, verdict.CodeBroken, verdict.CodeUnknownResult, verdict.CodeKeyInUse:
+	case verdict.CodeOverloaded, verdict.CodeNoBackend, verdict.CodeDraining, verdict.CodeStoreUnavailable,
+		verdict.CodeBackendFailed, verdict.CodeAnswerBroken, verdict.CodeOutcomeUnknown, verdict.CodeKeyInProgress:
 		return true
 	default:
 		return false
--- a/internal/entry/call/random_test.go
+++ b/internal/entry/call/random_test.go
@@ -127,17 +127,17 @@
 		return slices.Contains(e.Excluded, name)
 	})
 	if len(names) == 0 {
-		return call.Unroutable{Attempt: e.Attempt, Err: verdict.Refused(verdict.CodeNoBackend, "none", 0)}
+		return call.Unroutable{Attempt: e.Attempt, Err: verdict.NewRejection(verdict.CodeNoBackend, "none", 0)}
 	}
 	if seldom(t, 6) {
 		w.seen["route later"]++
 		return call.Unroutable{
-			Attempt: e.Attempt, Err: verdict.Refused(verdict.CodeNoBackend, "changing", 0), RetryIn: time.Second,
+			Attempt: e.Attempt, Err: verdict.NewRejection(verdict.CodeNoBackend, "changing", 0), RetryIn: time.Second,
 		}
 	}
 	routed := call.Routed{Attempt: e.Attempt, Server: rapid.SampledFrom(names).Draw(t, "server")}
 	if w.spec.Resumable && !e.Resume && rapid.Bool().Draw(t, "split") {
-		routed.Prefill = rapid.SampledFrom(names).Draw(t, "prefill")
+		routed.PrefillServer = rapid.SampledFrom(names).Draw(t, "prefill")
 	}
 	return routed
 }
@@ -198,7 +198,7 @@
 			s.broken[attempt] = e
 			w.events = append(w.events, call.Refusal{Attempt: attempt, Frame: &wire.Refusal{
 				RequestId: w.spec.ID[:], Attempt: attempt,
-				Verdict: wire.Verdict_VERDICT_MAY_HAVE_RUN, Code: string(verdict.CodeBroken),
+				Verdict: wire.Verdict_VERDICT_MAY_HAVE_RUN, Code: string(verdict.CodeAnswerBroken),
 			}})
 			return
 		}
@@ -316,7 +316,7 @@
 		"foreign frame": func(t *rapid.T) { w.step(t, w.spoil(t)) },
 		"link lost": func(t *rapid.T) {
 			if seldom(t, 3) {
-				w.step(t, call.LinkLost{Attempt: w.machine.Attempt()})
+				w.step(t, call.StreamLost{Attempt: w.machine.Attempt()})
 			}
 		},
 		"link silent": func(t *rapid.T) {
@@ -350,7 +350,7 @@
 		},
 		"caller gone": func(t *rapid.T) {
 			if seldom(t, 30) {
-				w.step(t, call.CallerGone{})
+				w.step(t, call.CallerDisconnected{})
 			}
 		},
 	}
--- a/internal/entry/call/resolve.go
+++ b/internal/entry/call/resolve.go
@@ -20,7 +20,7 @@
 	}
 	if m.cur.prefill {
 		m.cancel()
-		m.again(now, verdict.New(verdict.MayHaveRun, verdict.CodeUnknownResult, why))
+		m.again(now, verdict.New(verdict.MayHaveRun, verdict.CodeOutcomeUnknown, why))
 		return
 	}
 	m.explain("outcome unknown", "attempt at "+m.cur.server+": "+why)
@@ -68,7 +68,7 @@
 // stayUnknown ends the attempt as one that may have run.
 func (m *Machine) stayUnknown(now time.Time, why string) {
 	m.cancel()
-	m.again(now, verdict.New(verdict.MayHaveRun, verdict.CodeUnknownResult, why))
+	m.again(now, verdict.New(verdict.MayHaveRun, verdict.CodeOutcomeUnknown, why))
 }
 
 func (m *Machine) resolution(now time.Time, r *wire.Resolution) {
@@ -129,7 +129,7 @@
 func (m *Machine) takeOver(now time.Time) {
 	server := m.cur.server
 	if len(m.past)+1 >= MaxAttempts {
-		m.fail(verdict.New(verdict.MayHaveRun, verdict.CodeUnknownResult, "the stream was cut off from its backend server"))
+		m.fail(verdict.New(verdict.MayHaveRun, verdict.CodeOutcomeUnknown, "the stream was cut off from its backend server"))
 		return
 	}
 	m.archive()
@@ -142,10 +142,10 @@
 		m.cur.verdict = verdict.Ran
 		m.cancel()
 		if m.spec.Idempotent {
-			m.again(now, verdict.New(verdict.Ran, verdict.CodeBroken, "the answer was not kept"))
+			m.again(now, verdict.New(verdict.Ran, verdict.CodeAnswerBroken, "the answer was not kept"))
 			return
 		}
-		m.fail(verdict.New(verdict.Ran, verdict.CodeBroken, "the request ran, its answer was not kept"))
+		m.fail(verdict.New(verdict.Ran, verdict.CodeAnswerBroken, "the request ran, its answer was not kept"))
 		return
 	}
 	for _, c := range r.GetChunks()[m.cur.next:] {
--- a/internal/entry/call/route.go
+++ b/internal/entry/call/route.go
@@ -60,16 +60,16 @@
 		staleEvents.Inc(1)
 		return
 	}
-	if e.Prefill == "" {
+	if e.PrefillServer == "" {
 		m.send(now, e.Server, nil)
 		return
 	}
 	m.decode = e.Server
 	m.cur.prefill = true
-	m.start(e.Prefill)
+	m.start(e.PrefillServer)
 	m.emit(SendStart{
 		Attempt:     m.cur.number,
-		Server:      e.Prefill,
+		Server:      e.PrefillServer,
 		Budget:      m.spec.Deadline.Sub(now),
 		PrefillOnly: true,
 	})
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -130,9 +130,9 @@
 			Incarnation: do.MustInvoke[daemon.Incarnation](i).String(),
 			DataCentre:  s.Process.DataCentre,
 		},
-		Region:     s.Process.Region,
-		DataCentre: s.Process.DataCentre,
-		Links:      s.Entry.Links,
+		Region:          s.Process.Region,
+		DataCentre:      s.Process.DataCentre,
+		LinksPerService: s.Entry.Links,
 	}
 	reports := do.MustInvoke[*router.Router](i).Reports()
 	return links.NewPool(config, f, f, reports, do.MustInvoke[*suture.Supervisor](i)), nil
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -211,7 +211,7 @@
 		body, err := io.ReadAll(resp.Body)
 		if resp.StatusCode == http.StatusOK {
 			Expect(err).To(HaveOccurred())
-			Expect(string(body)).To(ContainSubstring(`"code":"` + string(verdict.CodeDeadline)))
+			Expect(string(body)).To(ContainSubstring(`"code":"` + string(verdict.CodeDeadlineExceeded)))
 		}
 		Expect(string(body)).NotTo(ContainSubstring("[DONE]"))
 		s.stop()
--- a/internal/entry/fleet.go
+++ b/internal/entry/fleet.go
@@ -85,11 +85,11 @@
 const pictureTimeout = time.Second
 
 // Picture implements planner.Source.
-func (p *planning) Picture() planner.Picture {
+func (p *planning) View() planner.View {
 	ctx, cancel := context.WithTimeout(context.Background(), pictureTimeout)
 	defer cancel()
 	snapshot := p.Snapshot()
-	picture := planner.Picture{
+	picture := planner.View{
 		VMs:     snapshot.VMs,
 		Config:  snapshot.Config,
 		Plan:    snapshot.Plan,
@@ -102,10 +102,10 @@
 		}
 	}
 	// Without reports the planner assigns no roles, but still key slots.
-	loads, _ := p.router.Loads(ctx)
+	loads, _ := p.router.LoadReports(ctx)
 	for name, l := range loads {
 		if l.Load != nil {
-			picture.Reports[name] = planner.LoadReport{At: l.At, Load: l.Load}
+			picture.Reports[name] = planner.LoadReport{At: l.ReceivedAt, Load: l.Load}
 		}
 	}
 	picture.Demand, _ = p.router.Demand(ctx)
@@ -118,7 +118,7 @@
 const plannerCandidates = 3
 
 // Candidate implements planner.Source.
-func (p *planning) Candidate() bool {
+func (p *planning) LeaseCandidate() bool {
 	process := p.settings.Process
 	names := []string{}
 	for _, vm := range p.Snapshot().VMs {
--- a/internal/entry/links/frames.go
+++ b/internal/entry/links/frames.go
@@ -25,7 +25,7 @@
 		return
 	}
 	l.heard = now
-	l.peer.Store(&Peer{HeardAt: now, Versions: l.Peer().Versions})
+	l.peer.Store(&Peer{LastFrameAt: now, Versions: l.Peer().Versions})
 	l.handle(in.conn, in.frame)
 }
 
@@ -43,8 +43,8 @@
 	case *wire.Frame_Versions:
 		// What it does not have by now was lost on its way, and is sent again.
 		clear(l.sent)
-		l.peer.Store(&Peer{HeardAt: l.heard, Versions: body.Versions.GetVersions()})
-		l.objects.Heard(l.server.Name, body.Versions)
+		l.peer.Store(&Peer{LastFrameAt: l.heard, Versions: body.Versions.GetVersions()})
+		l.objects.SetPeerVersions(l.server.Name, body.Versions)
 		l.push()
 	case *wire.Frame_Object:
 		o := body.Object
--- a/internal/entry/links/link.go
+++ b/internal/entry/links/link.go
@@ -41,7 +41,7 @@
 	// Offer takes an object that the peer holds.
 	Offer(o sharedstate.Object)
 	// Heard takes the versions in force at a peer.
-	Heard(process string, v *wire.Versions)
+	SetPeerVersions(process string, v *wire.Versions)
 	// Changed returns a channel that is closed when the versions here change.
 	Changed() <-chan struct{}
 }
@@ -74,8 +74,8 @@
 
 // Peer is what a sidecar last said of itself. It is never changed.
 type Peer struct {
-	HeardAt  time.Time
-	Versions map[string]uint64
+	LastFrameAt time.Time
+	Versions    map[string]uint64
 }
 
 // oldConn is a silent connection beside its successor.
@@ -167,7 +167,7 @@
 	}
 	l.heard, l.beatAt = now, now
 	l.sent = map[string]uint64{}
-	l.peer.Store(&Peer{HeardAt: now})
+	l.peer.Store(&Peer{LastFrameAt: now})
 	go conn.write()
 	go conn.read(ctx, l.inbox)
 	conn.send(l.versions())
--- a/internal/entry/links/links_test.go
+++ b/internal/entry/links/links_test.go
@@ -192,8 +192,8 @@
 	return o.changed
 }
 
-func (o *fakeObjects) Offer(sharedstate.Object)     {}
-func (o *fakeObjects) Heard(string, *wire.Versions) {}
+func (o *fakeObjects) Offer(sharedstate.Object)               {}
+func (o *fakeObjects) SetPeerVersions(string, *wire.Versions) {}
 
 type fixedView struct{ view atomic.Pointer[view.View] }
 
@@ -271,7 +271,7 @@
 		woken := time.Now()
 		Eventually(func() time.Time {
 			peer, _ := pool.Peer("a")
-			return peer.HeardAt
+			return peer.LastFrameAt
 		}, soon).Should(BeTemporally(">", woken))
 		sidecar.noHello.Store(false)
 		Eventually(func() error {
@@ -320,7 +320,7 @@
 		near, far := vmAt("a", sidecar.listener.Addr().String()), vmAt("b", other.listener.Addr().String())
 		near.DataCentre, far.DataCentre = "gangnam", "mapo"
 		views.list(near, far)
-		pool, _ := startPool(views, newObjects(), links.Config{Links: 1, DataCentre: "gangnam"})
+		pool, _ := startPool(views, newObjects(), links.Config{LinksPerService: 1, DataCentre: "gangnam"})
 		Eventually(sidecar.accepted.Load, soon).Should(BeEquivalentTo(1))
 		Expect(other.accepted.Load()).To(BeZero())
 		_, err := pool.Conn(context.Background(), "b")
@@ -347,7 +347,7 @@
 		linked := map[string]int{}
 		for i := range entries {
 			config := links.Config{
-				Self: &wire.Hello{Process: fmt.Sprintf("entry-%d", i)}, Region: "r", DataCentre: "dc-0", Links: perEntry,
+				Self: &wire.Hello{Process: fmt.Sprintf("entry-%d", i)}, Region: "r", DataCentre: "dc-0", LinksPerService: perEntry,
 			}
 			chosen := links.Subset(vms, config)
 			Expect(chosen).To(HaveLen(perEntry))
--- a/internal/entry/links/pool.go
+++ b/internal/entry/links/pool.go
@@ -36,7 +36,7 @@
 	// Region and DataCentre of this process; links go there first.
 	Region, DataCentre string
 	// Links is how many sidecars of each service get a standing link; 0: all.
-	Links int
+	LinksPerService int
 }
 
 // Pool is the duty that decides which links exist. Conn may be called from any
@@ -249,7 +249,7 @@
 	dump := map[string]LinkDump{}
 	for name, l := range *p.published.Load() {
 		peer := l.Peer()
-		d := LinkDump{HeardAt: peer.HeardAt, Versions: peer.Versions}
+		d := LinkDump{HeardAt: peer.LastFrameAt, Versions: peer.Versions}
 		if conn := l.Conn(); conn != nil {
 			d.Connected, d.Silent, d.Incarnation = true, conn.isSilent(), conn.incarnation
 		}
--- a/internal/entry/links/subset.go
+++ b/internal/entry/links/subset.go
@@ -16,7 +16,7 @@
 func subset(backends []sharedstate.VM, config Config) map[string]bool {
 	chosen := map[string]bool{}
 	for _, group := range byService(backends) {
-		left := config.Links
+		left := config.LinksPerService
 		if left <= 0 {
 			left = len(group)
 		}
--- a/internal/entry/router/admit.go
+++ b/internal/entry/router/admit.go
@@ -76,7 +76,7 @@
 	}
 	refusals[decision.Reason].Inc(1)
 	s.explain(now, r.ID, "refused", why)
-	return verdict.Refused(codeOf(decision.Reason), decision.Reason.String(), decision.RetryAfter)
+	return verdict.NewRejection(codeOf(decision.Reason), decision.Reason.String(), decision.RetryAfter)
 }
 
 func codeOf(reason admit.Reason) verdict.Code {
@@ -135,14 +135,14 @@
 	}
 	step := float64(slots) / rateOr(load.DecodeRate, defaultDecodeRate)
 	return expectation{
-		wait:  p.Wait + decode.Wait,
+		wait:  p.QueueDelay + decode.QueueDelay,
 		run:   time.Duration((prefill + output(r)*step) * float64(time.Second)),
 		drain: s.drainRate(now, r),
 	}
 }
 
 func (s *state) expectCall(now time.Time, r *Request, p pick) expectation {
-	e := expectation{wait: p.Wait, run: defaultCallTime}
+	e := expectation{wait: p.QueueDelay, run: defaultCallTime}
 	if known, ok := s.servers[p.Name]; ok && known.load.GetServiceMs() > 0 {
 		e.run = time.Duration(known.load.GetServiceMs() * float64(time.Millisecond))
 	}
@@ -186,7 +186,7 @@
 
 // limitAccount gives the account of r the limit that operators set for all.
 func limitAccount(r *Request, g *group) {
-	if g.limit <= 0 || len(g.terms) >= admit.DefaultAccounts {
+	if g.limit <= 0 || len(g.terms) >= admit.DefaultMaxAccounts {
 		return
 	}
 	if _, ok := g.terms[r.Caller]; !ok {
--- a/internal/entry/router/candidates.go
+++ b/internal/entry/router/candidates.go
@@ -17,7 +17,7 @@
 func (s *state) candidates(now time.Time, r *Request, role route.Role) []route.Candidate {
 	cached := map[string]int{}
 	if role != route.Decode {
-		cached = s.prefix.Cached(now, r.Pieces)
+		cached = s.prefix.CachedBlocks(now, r.PrefixBlocks)
 	}
 	outliers := s.group(r.group()).outlier(role)
 	candidates := make([]route.Candidate, 0, len(s.servers))
@@ -28,7 +28,7 @@
 		c := s.candidate(known, r)
 		c.Name = name
 		c.Load, _, _ = s.picture(role).Load(now, name)
-		c.CachedPieces = cached[name]
+		c.CachedBlocks = cached[name]
 		c.Weight = outliers.Weight(now, name)
 		candidates = append(candidates, c)
 	}
@@ -38,7 +38,7 @@
 }
 
 func (s *state) candidate(known *server, r *Request) route.Candidate {
-	row, _ := s.view.Row(known.vm.Name)
+	row, _ := s.view.PlanRow(known.vm.Name)
 	c := route.Candidate{
 		DataCentre: known.vm.DataCentre,
 		Service:    known.vm.Service,
@@ -54,7 +54,7 @@
 		c.Role = route.Mixed
 	}
 	if c.Role == route.Decode {
-		c.SpillPrompt = shift.DefaultSpillPrompt
+		c.MaxSpilloverPrompt = shift.DefaultMaxSpilloverPrompt
 	}
 	c.Model = modelOf(known, row, r.Model)
 	return c
@@ -92,7 +92,7 @@
 		Adapter:      r.Adapter,
 		PromptTokens: r.PromptTokens,
 		OutputTokens: r.OutputTokens,
-		Pieces:       r.Pieces,
+		PrefixBlocks: r.PrefixBlocks,
 		DataCentre:   s.config.DataCentre,
 		Role:         role,
 		Excluded:     excluded,
@@ -116,5 +116,5 @@
 
 // uncached is the prompt that p still has to read.
 func (p pick) uncached(r *Request) int {
-	return max(1, r.PromptTokens-route.KVBlockTokens*p.candidate.CachedPieces)
+	return max(1, r.PromptTokens-route.KVBlockTokens*p.candidate.CachedBlocks)
 }
--- a/internal/entry/router/dump.go
+++ b/internal/entry/router/dump.go
@@ -50,10 +50,10 @@
 }
 
 // loads returns the last report of each backend server that sent one.
-func (s *state) loads() map[string]Load {
-	loads := make(map[string]Load, len(s.servers))
+func (s *state) loads() map[string]LoadReport {
+	loads := make(map[string]LoadReport, len(s.servers))
 	for name, known := range s.servers {
-		loads[name] = Load{At: known.loadAt, Load: known.load, Link: known.link, Drained: known.drained}
+		loads[name] = LoadReport{ReceivedAt: known.loadAt, Load: known.load, LinkState: known.link, Drained: known.drained}
 	}
 	return loads
 }
--- a/internal/entry/router/group.go
+++ b/internal/entry/router/group.go
@@ -48,7 +48,7 @@
 // group holds the decisions about one service or model.
 type group struct {
 	admitter *admit.Admitter
-	meter    *shift.Meter
+	meter    *shift.DemandMeter
 	// share is the retry share of budget.
 	share  float64
 	budget *retry.Budget
@@ -62,7 +62,7 @@
 func newGroup(rng *rand.Rand) *group {
 	return &group{
 		admitter: admit.New(admit.Config{Rand: rng}),
-		meter:    shift.NewMeter(0),
+		meter:    shift.NewDemandMeter(0),
 		outliers: map[route.Role]*outlier.Detector{},
 	}
 }
@@ -112,7 +112,7 @@
 }
 
 func (s *state) configureGroup(key groupKey, g *group, now time.Time) {
-	values := s.view.Values(key.service, key.model, now)
+	values := s.view.ConfigValues(key.service, key.model, now)
 	share, limit := 0.0, 0.0
 	if values.RetryShare != nil {
 		share = *values.RetryShare
--- a/internal/entry/router/route.go
+++ b/internal/entry/router/route.go
@@ -56,19 +56,19 @@
 	}
 	s.sent(now, r, first, role)
 	if second == nil {
-		s.explain(now, r.ID, "routed to "+first.Name, first.Why)
+		s.explain(now, r.ID, "routed to "+first.Name, first.Reason)
 		return call.Routed{Attempt: ask.Attempt, Server: first.Name}
 	}
 	s.sent(now, r, *second, route.Decode)
 	s.explain(now, r.ID, "routed to "+first.Name+" for prefill, "+second.Name+" for decode",
-		"prefill: "+first.Why+"; decode: "+second.Why)
-	return call.Routed{Attempt: ask.Attempt, Server: second.Name, Prefill: first.Name}
+		"prefill: "+first.Reason+"; decode: "+second.Reason)
+	return call.Routed{Attempt: ask.Attempt, Server: second.Name, PrefillServer: first.Name}
 }
 
 // continues reports whether the attempt goes on with one that a change or a
 // fault of its backend server ended.
 func continues(ask call.Route) bool {
-	return ask.Resume || ask.Retry != nil && ask.Retry.Planned
+	return ask.Resume || ask.Retry != nil && ask.Retry.ServerDraining
 }
 
 // pickAgain picks. An answer that has begun rather goes back to a backend
@@ -105,7 +105,7 @@
 // has cost no backend server anything and needs none, and one that a planned
 // change ended is no failure.
 func (s *state) allowRetry(now time.Time, r *Request, ask call.Route) *verdict.Error {
-	if ask.Retry == nil || !ask.Retry.Sent || ask.Retry.Planned {
+	if ask.Retry == nil || !ask.Retry.Sent || ask.Retry.ServerDraining {
 		return nil
 	}
 	allowed := s.group(r.group()).budget.Allow(now, retry.Attempt{
@@ -119,7 +119,7 @@
 	}
 	spentBudgets.Inc(1)
 	s.explain(now, r.ID, "not tried again", "the retry budget is spent")
-	return verdict.Refused(verdict.CodeOverloaded, "too many requests fail to try this one again", noServerRetryAfter)
+	return verdict.NewRejection(verdict.CodeOverloaded, "too many requests fail to try this one again", noServerRetryAfter)
 }
 
 // sent notes an attempt on its way.
@@ -127,21 +127,21 @@
 	tokens := 1
 	if role == route.Prefill {
 		tokens = p.uncached(r)
-		s.prefix.Sent(now, p.Name, r.Pieces)
+		s.prefix.AddExpected(now, p.Name, r.PrefixBlocks)
 	}
-	s.picture(role).Sent(now, p.Name, r.ID, tokens)
-	r.sent = append(r.sent, sent{server: p.Name, role: role, expected: max(p.Expected, minExpected)})
+	s.picture(role).AddRequest(now, p.Name, r.ID, tokens)
+	r.sent = append(r.sent, sent{server: p.Name, role: role, expected: max(p.ExpectedTTFT, minExpected)})
 }
 
 // routeKeyed goes to the owner of the key's slot. Any other sidecar would
 // refuse: two that ran the same key would run the call twice.
 func (s *state) routeKeyed(now time.Time, r *Request, ask call.Route) call.Event {
-	slots := s.view.Slots(r.Service)
+	slots := s.view.SlotCount(r.Service)
 	if slots == 0 {
 		return s.unroutable(now, r, ask, "the plan has no key slots for the service yet", false)
 	}
 	slot := claims.SlotOfHash(r.KeyHash, slots)
-	owner, ok := s.view.Owner(r.Service, slot)
+	owner, ok := s.view.SlotOwner(r.Service, slot)
 	if !ok {
 		return s.unroutable(now, r, ask, fmt.Sprintf("key slot %d has no owner", slot), true)
 	}
@@ -164,7 +164,7 @@
 func (s *state) unroutable(now time.Time, r *Request, ask call.Route, why string, wait bool) call.Event {
 	event := call.Unroutable{
 		Attempt: ask.Attempt,
-		Err:     verdict.Refused(verdict.CodeNoBackend, why, noServerRetryAfter),
+		Err:     verdict.NewRejection(verdict.CodeNoBackend, why, noServerRetryAfter),
 	}
 	if wait {
 		event.RetryIn = changeRetryIn
@@ -182,10 +182,10 @@
 			continue
 		}
 		r.sent = append(r.sent[:i], r.sent[i+1:]...)
-		s.picture(a.role).Done(now, name, r.ID)
-		if !o.Refused {
+		s.picture(a.role).RemoveRequest(now, name, r.ID)
+		if !o.Rejected {
 			s.group(r.group()).outlier(a.role).Observe(now, name, outlier.Observation{
-				Took:     o.Took,
+				Took:     o.TimeToFirstPiece,
 				Expected: a.expected,
 				Failed:   o.Failed,
 			})
@@ -197,7 +197,7 @@
 // ended takes the end of an admitted request.
 func (s *state) ended(now time.Time, r *Request, succeeded bool) {
 	for _, a := range r.sent {
-		s.picture(a.role).Done(now, a.server, r.ID)
+		s.picture(a.role).RemoveRequest(now, a.server, r.ID)
 	}
 	g := s.group(r.group())
 	g.admitter.Finished(now, r.Caller, r.cost)
--- a/internal/entry/router/router.go
+++ b/internal/entry/router/router.go
@@ -42,10 +42,10 @@
 	// plain service.
 	PromptTokens, OutputTokens int
 	// Pieces is the hash chain of the prompt.
-	Pieces     []uint64
-	Deadline   time.Time
-	Class      int
-	Idempotent bool
+	PrefixBlocks []uint64
+	Deadline     time.Time
+	Class        int
+	Idempotent   bool
 	// Keyed requests may run only at the owner of their key slot.
 	Keyed bool
 	// KeyHash chooses the slot.
@@ -60,9 +60,9 @@
 // Outcome is how one attempt went.
 type Outcome struct {
 	// Took is the time to the first piece of the answer.
-	Took time.Duration
+	TimeToFirstPiece time.Duration
 	// Refused says that the backend server did not take the attempt.
-	Refused bool
+	Rejected bool
 	// Failed says that the backend server is to blame.
 	Failed bool
 }
@@ -92,7 +92,7 @@
 // Gossip exchanges the heaviest accounts with other entries.
 type Gossip interface {
 	// Spent tells of this entry's.
-	Spent(accounts *wire.Accounts)
+	AnnounceUsage(accounts *wire.Accounts)
 	// Accounts returns what others tell of theirs.
 	Accounts() <-chan member.PeerAccounts
 }
@@ -100,7 +100,7 @@
 // noGossip is the Gossip of a lone entry.
 type noGossip struct{}
 
-func (noGossip) Spent(*wire.Accounts)                 {}
+func (noGossip) AnnounceUsage(*wire.Accounts)         {}
 func (noGossip) Accounts() <-chan member.PeerAccounts { return nil }
 
 // New returns a Router.
@@ -146,7 +146,7 @@
 		case <-ticker.C:
 			r.state.refresh(now())
 		case <-gossip.C:
-			r.state.config.Gossip.Spent(r.state.heaviest(now()))
+			r.state.config.Gossip.AnnounceUsage(r.state.heaviest(now()))
 		case accounts := <-r.state.config.Gossip.Accounts():
 			r.state.merge(now(), accounts)
 		}
@@ -210,7 +210,7 @@
 
 func (m endedMessage) apply(now time.Time, s *state) { s.ended(now, m.request, m.succeeded) }
 
-type loadsMessage struct{ reply chan<- map[string]Load }
+type loadsMessage struct{ reply chan<- map[string]LoadReport }
 
 func (m loadsMessage) apply(_ time.Time, s *state) { m.reply <- s.loads() }
 
@@ -239,7 +239,7 @@
 // noDecision tells a caller that went away from a fault of the duty.
 func noDecision(ctx context.Context) *verdict.Error {
 	if context.Cause(ctx) == context.DeadlineExceeded {
-		return verdict.Refused(verdict.CodeInternal, "no decision about the request", busyRetryAfter)
+		return verdict.NewRejection(verdict.CodeInternal, "no decision about the request", busyRetryAfter)
 	}
 	return verdict.New(verdict.NotRun, verdict.CodeCancelled, "the caller went away")
 }
@@ -262,23 +262,23 @@
 }
 
 func busy() *verdict.Error {
-	return verdict.Refused(verdict.CodeOverloaded, "the entry is overloaded", busyRetryAfter)
+	return verdict.NewRejection(verdict.CodeOverloaded, "the entry is overloaded", busyRetryAfter)
 }
 
 // Attempted tells that an attempt at server no longer waits: it began to
 // answer, was refused or failed.
-func (r *Router) Attempted(request *Request, server string, outcome Outcome) {
+func (r *Router) ReportOutcome(request *Request, server string, outcome Outcome) {
 	r.tell(attemptedMessage{request: request, server: server, outcome: outcome})
 }
 
 // Refused passes on the fresh load that came with a refusal.
-func (r *Router) Refused(server string, load *wire.Load) {
+func (r *Router) UpdateLoad(server string, load *wire.Load) {
 	r.tell(refusedMessage{server: server, load: load})
 }
 
 // Ended tells that an admitted request ended, and whether its caller got a
 // whole answer.
-func (r *Router) Ended(request *Request, succeeded bool) {
+func (r *Router) Finish(request *Request, succeeded bool) {
 	r.tell(endedMessage{request: request, succeeded: succeeded})
 }
 
@@ -293,16 +293,16 @@
 }
 
 // Load is the last report of a backend server and how its link is.
-type Load struct {
-	At      time.Time
-	Load    *wire.Load
-	Link    links.State
-	Drained bool
+type LoadReport struct {
+	ReceivedAt time.Time
+	Load       *wire.Load
+	LinkState  links.State
+	Drained    bool
 }
 
 // Loads returns the last report of each backend server.
-func (r *Router) Loads(ctx context.Context) (map[string]Load, error) {
-	reply := make(chan map[string]Load, 1)
+func (r *Router) LoadReports(ctx context.Context) (map[string]LoadReport, error) {
+	reply := make(chan map[string]LoadReport, 1)
 	return ask(ctx, r, loadsMessage{reply: reply}, reply)
 }
 
--- a/internal/entry/router/router_test.go
+++ b/internal/entry/router/router_test.go
@@ -134,7 +134,7 @@
 		f := newFixture(backend("p", sharedstate.ServiceModels), backend("d", sharedstate.ServiceModels))
 		f.engine("p", "prefill")
 		f.engine("d", "decode")
-		Expect(f.route(f.draft(), call.Route{})).To(Equal(call.Routed{Attempt: 1, Server: "d", Prefill: "p"}))
+		Expect(f.route(f.draft(), call.Route{})).To(Equal(call.Routed{Attempt: 1, Server: "d", PrefillServer: "p"}))
 	})
 
 	It("lets a decode engine read the prompt when there is no prefill engine", func() {
@@ -197,7 +197,7 @@
 		for range 50 {
 			r := f.draft()
 			r.cost = 10_000
-			handedOver := call.Route{Excluded: []string{"a"}, Retry: &call.Retry{Sent: true, Planned: true}}
+			handedOver := call.Route{Excluded: []string{"a"}, Retry: &call.Retry{Sent: true, ServerDraining: true}}
 			Expect(f.route(r, handedOver)).To(Equal(call.Routed{Attempt: 1, Server: "b"}))
 		}
 	})
--- a/internal/entry/router/state.go
+++ b/internal/entry/router/state.go
@@ -23,7 +23,7 @@
 	servers map[string]*server
 	// prefills and decodes are the pictures of the two kinds of work; calls of
 	// plain services count as prefills.
-	prefills, decodes *route.Picture
+	prefills, decodes *route.LoadTracker
 	prefix            *route.PrefixIndex
 	groups            map[groupKey]*group
 	// remoteDemand is keyed by the name of the other entry.
@@ -51,8 +51,8 @@
 		rng:      rand.New(rand.NewPCG(config.Seed, 0)),
 		view:     &view.View{},
 		servers:  map[string]*server{},
-		prefills: route.NewPicture(),
-		decodes:  route.NewPicture(),
+		prefills: route.NewLoadTracker(),
+		decodes:  route.NewLoadTracker(),
 		prefix:   route.NewPrefixIndex(0),
 		groups:   map[groupKey]*group{},
 
@@ -60,7 +60,7 @@
 	}
 }
 
-func (s *state) picture(role route.Role) *route.Picture {
+func (s *state) picture(role route.Role) *route.LoadTracker {
 	if role == route.Decode {
 		return s.decodes
 	}
@@ -105,9 +105,9 @@
 
 func (s *state) forget(name string) {
 	delete(s.servers, name)
-	s.prefills.Forget(name)
-	s.decodes.Forget(name)
-	s.prefix.Forget(name)
+	s.prefills.RemoveServer(name)
+	s.decodes.RemoveServer(name)
+	s.prefix.RemoveServer(name)
 	for _, g := range s.groups {
 		for _, d := range g.outliers {
 			d.Forget(name)
@@ -195,11 +195,11 @@
 func (s *state) cacheEvents(now time.Time, known *server, r links.Report) {
 	first := r.Events.GetFirstSequence()
 	if known.lastEvent > 0 && first > known.lastEvent+1 {
-		s.prefix.Gap(now, r.Server)
+		s.prefix.EventsLost(now, r.Server)
 	}
 	known.lastEvent = max(known.lastEvent, first)
-	s.prefix.Stored(now, r.Server, r.Events.GetStored())
-	s.prefix.Evicted(r.Server, r.Events.GetEvicted())
+	s.prefix.AddStored(now, r.Server, r.Events.GetStored())
+	s.prefix.RemoveEvicted(r.Server, r.Events.GetEvicted())
 }
 
 // loadOf translates a report. Calls of a plain service count as prompts of one
@@ -212,7 +212,7 @@
 		Running:       int(l.GetRunning()),
 		Queued:        int(l.GetQueued()),
 		Slots:         int(l.GetSlots()),
-		FreePieces:    int(l.GetKvPieces()) - int(l.GetKvPiecesUsed()),
+		FreeKVBlocks:  int(l.GetKvPieces()) - int(l.GetKvPiecesUsed()),
 		PrefillRate:   l.GetPrefillRate(),
 		DecodeRate:    l.GetDecodeRate(),
 	}
--- a/internal/entry/serve/request.go
+++ b/internal/entry/serve/request.go
@@ -70,7 +70,7 @@
 		routing.Adapter = g.GetAdapter()
 		routing.PromptTokens = int(g.GetPromptTokens())
 		routing.OutputTokens = int(g.GetMaxTokens())
-		routing.Pieces = route.PrefixBlocks(g.GetPrompt())
+		routing.PrefixBlocks = route.PrefixBlocks(g.GetPrompt())
 	}
 	return routing
 }
--- a/internal/entry/serve/run.go
+++ b/internal/entry/serve/run.go
@@ -88,7 +88,7 @@
 		if e.Attempt == r.machine.Attempt() {
 			r.attemptBegan()
 		}
-	case call.LinkLost:
+	case call.StreamLost:
 		if e.Attempt == r.machine.Attempt() {
 			r.attemptFailed()
 		}
@@ -104,11 +104,11 @@
 	}
 	r.began = true
 	firstPiece.UpdateSince(r.beganAt)
-	r.server.router.Attempted(r.routing, r.target, router.Outcome{Took: time.Since(r.sentAt)})
+	r.server.router.ReportOutcome(r.routing, r.target, router.Outcome{TimeToFirstPiece: time.Since(r.sentAt)})
 }
 
 func (r *run) attemptFailed() {
-	r.server.router.Attempted(r.routing, r.target, router.Outcome{Took: time.Since(r.sentAt), Failed: true})
+	r.server.router.ReportOutcome(r.routing, r.target, router.Outcome{TimeToFirstPiece: time.Since(r.sentAt), Failed: true})
 }
 
 func (r *run) refused(e call.Refusal) {
@@ -116,12 +116,12 @@
 		return
 	}
 	if load := e.Frame.GetLoad(); load != nil {
-		r.server.router.Refused(r.target, load)
+		r.server.router.UpdateLoad(r.target, load)
 	}
 	code := verdict.Code(e.Frame.GetCode())
-	r.server.router.Attempted(r.routing, r.target, router.Outcome{
-		Refused: e.Frame.GetVerdict() == wire.Verdict_VERDICT_NOT_RUN,
-		Failed:  code == verdict.CodeBackend || code == verdict.CodeBroken,
+	r.server.router.ReportOutcome(r.routing, r.target, router.Outcome{
+		Rejected: e.Frame.GetVerdict() == wire.Verdict_VERDICT_NOT_RUN,
+		Failed:   code == verdict.CodeBackendFailed || code == verdict.CodeAnswerBroken,
 	})
 }
 
@@ -149,7 +149,7 @@
 		r.cancel(e)
 	case call.Deliver:
 		if r.sink.Deliver(e.Data, e.Tokens) != nil {
-			r.pending = append(r.pending, call.CallerGone{})
+			r.pending = append(r.pending, call.CallerDisconnected{})
 		}
 	case call.Finish:
 		r.succeeded, r.answered = true, true
@@ -160,7 +160,7 @@
 		r.answered = true
 		fail(r.sink, e.Err)
 	case call.Explain:
-		r.server.explain.Add(time.Now(), r.routing.ID, e.Decision, e.Why)
+		r.server.explain.Add(time.Now(), r.routing.ID, e.Decision, e.Reason)
 	}
 }
 
@@ -223,7 +223,7 @@
 	if s.wire.Send(&wire.Frame{Body: &wire.Frame_Start{Start: start}}) == nil {
 		r.receiveAll(e.Attempt, s.wire)
 	}
-	r.post(posted{event: call.LinkLost{Attempt: e.Attempt}})
+	r.post(posted{event: call.StreamLost{Attempt: e.Attempt}})
 }
 
 func (r *run) open(ctx context.Context, server string) (*stream, error) {
--- a/internal/entry/serve/serve.go
+++ b/internal/entry/serve/serve.go
@@ -59,7 +59,7 @@
 	}
 	r := newRun(s, request, routing, sink)
 	r.firstRoute = first
-	defer func() { s.router.Ended(routing, r.succeeded) }()
+	defer func() { s.router.Finish(routing, r.succeeded) }()
 	defer r.close()
 	defer r.recoverPanic()
 	r.loop(ctx)
@@ -91,7 +91,7 @@
 	defer timer.Stop()
 	r.step(ctx, call.Begin{})
 	for !r.machine.Ended() {
-		timer.Reset(time.Until(r.machine.Next()))
+		timer.Reset(time.Until(r.machine.NextTimer()))
 		select {
 		case p := <-r.inbox:
 			r.receive(ctx, p)
@@ -102,7 +102,7 @@
 		case <-timer.C:
 			r.step(ctx, call.Timer{})
 		case <-ctx.Done():
-			r.step(ctx, call.CallerGone{})
+			r.step(ctx, call.CallerDisconnected{})
 		}
 	}
 }
--- a/internal/entry/serve/serve_test.go
+++ b/internal/entry/serve/serve_test.go
@@ -193,11 +193,11 @@
 
 type noObjects struct{}
 
-func (noObjects) Versions() *wire.Versions            { return &wire.Versions{} }
-func (noObjects) Newer(*wire.Versions) []*wire.Object { return nil }
-func (noObjects) Offer(sharedstate.Object)            {}
-func (noObjects) Heard(string, *wire.Versions)        {}
-func (noObjects) Changed() <-chan struct{}            { return nil }
+func (noObjects) Versions() *wire.Versions               { return &wire.Versions{} }
+func (noObjects) Newer(*wire.Versions) []*wire.Object    { return nil }
+func (noObjects) Offer(sharedstate.Object)               {}
+func (noObjects) SetPeerVersions(string, *wire.Versions) {}
+func (noObjects) Changed() <-chan struct{}               { return nil }
 func backends(sidecars []*sidecar) (vms []sharedstate.VM) {
 	for _, s := range sidecars {
 		vms = append(vms, s.vm())
@@ -222,7 +222,7 @@
 		<-ended
 	})
 	Eventually(func(g Gomega) {
-		loads, err := r.Loads(ctx)
+		loads, err := r.LoadReports(ctx)
 		g.Expect(err).NotTo(HaveOccurred())
 		for _, s := range sidecars {
 			g.Expect(loads[s.name].Load).NotTo(BeNil())
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -59,7 +59,7 @@
 
 // Status implements operator.Fleet.
 func (o *operators) Status(ctx context.Context) (operator.Status, error) {
-	loads, err := o.router.Loads(ctx)
+	loads, err := o.router.LoadReports(ctx)
 	if err != nil {
 		return operator.Status{}, eris.Wrap(err, "status")
 	}
@@ -109,7 +109,7 @@
 	return status
 }
 
-func (o *operators) process(now time.Time, snapshot *member.Snapshot, vm sharedstate.VM, load router.Load) operator.ProcessStatus {
+func (o *operators) process(now time.Time, snapshot *member.Snapshot, vm sharedstate.VM, load router.LoadReport) operator.ProcessStatus {
 	p := operator.ProcessStatus{
 		Name:       vm.Name,
 		Kind:       "sidecar",
@@ -125,10 +125,10 @@
 		p.Versions = snapshot.Versions().GetVersions()
 	}
 	if peer, linked := o.pool.Peer(vm.Name); linked {
-		p.State = processState(load.Link)
+		p.State = processState(load.LinkState)
 		p.Versions = peer.Versions
-		if !peer.HeardAt.IsZero() {
-			p.LastHeard = fleetconfig.Duration(now.Sub(peer.HeardAt))
+		if !peer.LastFrameAt.IsZero() {
+			p.LastHeard = fleetconfig.Duration(now.Sub(peer.LastFrameAt))
 		}
 	}
 	if vm.Leaving {
@@ -156,7 +156,7 @@
 	}
 }
 
-func engineStatus(snapshot *member.Snapshot, vm sharedstate.VM, load router.Load) operator.EngineStatus {
+func engineStatus(snapshot *member.Snapshot, vm sharedstate.VM, load router.LoadReport) operator.EngineStatus {
 	e := operator.EngineStatus{
 		BackendServer: vm.Name,
 		DataCentre:    vm.DataCentre,
--- a/internal/entry/view/view.go
+++ b/internal/entry/view/view.go
@@ -35,12 +35,12 @@
 }
 
 // Values returns the configuration in force for a service and model.
-func (v *View) Values(service, model string, now time.Time) fleetconfig.Values {
+func (v *View) ConfigValues(service, model string, now time.Time) fleetconfig.Values {
 	return v.Config.For(fleetconfig.Scope{Service: service, Model: model}, now)
 }
 
 // Row returns the plan's row of a backend server.
-func (v *View) Row(server string) (plan.Engine, bool) {
+func (v *View) PlanRow(server string) (plan.Engine, bool) {
 	if v.Plan == nil {
 		return plan.Engine{}, false
 	}
@@ -50,7 +50,7 @@
 
 // Owner returns the backend server that owns a key slot; false when the plan
 // does not say. Slots returns how many the service has.
-func (v *View) Owner(service string, slot int) (string, bool) {
+func (v *View) SlotOwner(service string, slot int) (string, bool) {
 	if v.Plan == nil {
 		return "", false
 	}
@@ -63,7 +63,7 @@
 
 // Slots returns how many key slots the plan gives a service; 0 when it does
 // not say.
-func (v *View) Slots(service string) int {
+func (v *View) SlotCount(service string) int {
 	if v.Plan == nil {
 		return 0
 	}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -50,7 +50,7 @@
 	if reply.NotRun {
 		reply.Body.Close()
 		c.note(server, verdict.NotRun)
-		return nil, verdict.Refused(verdict.CodeOverloaded, "the backend server did not run it", leastRetry)
+		return nil, verdict.NewRejection(verdict.CodeOverloaded, "the backend server did not run it", leastRetry)
 	}
 	if e := unusable(reply); e != nil {
 		reply.Body.Close()
@@ -73,7 +73,7 @@
 }
 
 func (c *call) overBudget() *verdict.Error {
-	return verdict.Refused(verdict.CodeOverloaded, "the budget for repeated sends is used up", unknownRetry)
+	return verdict.NewRejection(verdict.CodeOverloaded, "the budget for repeated sends is used up", unknownRetry)
 }
 
 // note takes the outcome of an attempt that gave no answer.
@@ -115,10 +115,10 @@
 // limits, its caller may come back when the first of them has room.
 func (c *call) noServer(message string) *verdict.Error {
 	if len(c.limitedBy) == 0 {
-		return verdict.Refused(verdict.CodeNoBackend, message, unknownRetry)
+		return verdict.NewRejection(verdict.CodeNoBackend, message, unknownRetry)
 	}
 	wait := c.gateway.limits.wait(lo.Keys(c.limitedBy))
-	return verdict.Refused(verdict.CodeServerLimit, message+" that is not over its own limit", min(wait, max(leastRetry, place.MaxRetryAfter(c.left()))))
+	return verdict.NewRejection(verdict.CodeServerLimit, message+" that is not over its own limit", min(wait, max(leastRetry, place.MaxRetryAfter(c.left()))))
 }
 
 // unusable tells why an answer cannot be passed on: a success without the
@@ -127,9 +127,9 @@
 func unusable(reply *direct.Reply) *verdict.Error {
 	switch {
 	case reply.Status < http.StatusMultipleChoices && !reply.Sealed:
-		return verdict.New(verdict.MayHaveRun, verdict.CodeBroken, "success without an authentication code")
+		return verdict.New(verdict.MayHaveRun, verdict.CodeAnswerBroken, "success without an authentication code")
 	case promisesNotRun(reply.Status):
-		return verdict.New(verdict.MayHaveRun, verdict.CodeBackend, "status promises what the server does not")
+		return verdict.New(verdict.MayHaveRun, verdict.CodeBackendFailed, "status promises what the server does not")
 	default:
 		return nil
 	}
@@ -155,5 +155,5 @@
 	if c.verdict == verdict.NotRun {
 		return true
 	}
-	return c.route.Repeatable() && c.ran < c.route.Attempts
+	return c.route.Repeatable() && c.ran < c.route.MaxAttempts
 }
--- a/internal/gateway/call_test.go
+++ b/internal/gateway/call_test.go
@@ -20,7 +20,7 @@
 	c := &call{
 		received: now.Add(-time.Second),
 		deadline: now.Add(4 * time.Second),
-		route:    routes.Route{Objective: 500 * time.Millisecond},
+		route:    routes.Route{LatencyObjective: 500 * time.Millisecond},
 	}
 	if u := c.urgency(now); u.Objective != -500*time.Millisecond {
 		t.Errorf("not run: objective %v, want -500ms", u.Objective)
--- a/internal/gateway/endings.go
+++ b/internal/gateway/endings.go
@@ -249,7 +249,7 @@
 	if !c.standing.Quarantined {
 		return nil
 	}
-	return verdict.Refused(verdict.CodeQuarantined, "servers ended under this request: "+c.endedServers(), c.standing.RetryAfter)
+	return verdict.NewRejection(verdict.CodeQuarantined, "servers ended under this request: "+c.endedServers(), c.standing.RetryAfter)
 }
 
 // endedServers names the servers that ended under the request, with how long ago.
@@ -264,7 +264,7 @@
 func (c *call) runSuspect() {
 	e := c.gateway.endings
 	if !e.begin(c.fingerprint()) {
-		c.fail(verdict.Refused(verdict.CodeQuarantined, "under suspicion, it runs at a server already", suspectRetry))
+		c.fail(verdict.NewRejection(verdict.CodeQuarantined, "under suspicion, it runs at a server already", suspectRetry))
 		return
 	}
 	defer e.end(c.fingerprint())
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -24,7 +24,7 @@
 	// RequestID returns the id of a caller's request, empty if it has none.
 	RequestID(h http.Header) string
 	// Prefilled decodes the answer to a PrefillOnly send.
-	ParsePrefilled(body []byte) (request.Prefilled, error)
+	ParsePrefilled(body []byte) (request.PrefillResult, error)
 	// KVSource names KV cache at a backend server.
 	KVSource(address, handle string) string
 	// FreeHandle returns the method and path of the call that frees it.
@@ -93,12 +93,12 @@
 
 // Relayed passes what other gateways have seen of the store to the directory.
 func (g *Gateway) RemoteConfirmation(now time.Time, c directory.Confirmation) {
-	g.directory.Relayed(now, c)
+	g.directory.RemoteConfirmation(now, c)
 }
 
 // RelayedEntry does the same for one change of an entry.
 func (g *Gateway) RemoteServerChange(now time.Time, c directory.Change) {
-	g.directory.RelayedEntry(now, c)
+	g.directory.RemoteServerChange(now, c)
 }
 
 // Reload takes changed settings.
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -233,7 +233,7 @@
 		w.configure("1")
 		w.ready(0)
 		w.store.SetFaults(objectstore.Faults{Silent: true})
-		w.dir.Relayed(time.Now(), directory.Confirmation{ConfigRevision: w.dir.View().TableRevision + 1})
+		w.dir.RemoteConfirmation(time.Now(), directory.Confirmation{ConfigRevision: w.dir.View().TableRevision + 1})
 		got := w.ask(http.MethodGet, "/nowhere/", "r1")
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
@@ -348,7 +348,7 @@
 				"Token-Count", "10,100", "Length-Hint", "10", "Last-Event-Id", "8")
 			Expect(got.status).To(Equal(http.StatusOK))
 		}
-		Expect(w.gateway.LearnedState()["llm"].Lengths.LogEvents).To(BeNumerically("~", 0, 0.1))
+		Expect(w.gateway.LearnedState()["llm"].AnswerLengths.LogEvents).To(BeNumerically("~", 0, 0.1))
 	})
 
 	It("whose stream may be resumed goes on elsewhere when its engine falls silent", func() {
@@ -472,7 +472,7 @@
 		Expect(refused.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(refused.header.Get("Retry-After")).To(Equal("0.67"))
 		Expect(w.ask("GET", "/read/x", "r3", "Deadline-Ms", "60000").header.Get("Retry-After")).To(Equal("2.00"))
-		w.dir.Relayed(time.Now(), directory.Confirmation{ConfigRevision: 1})
+		w.dir.RemoteConfirmation(time.Now(), directory.Confirmation{ConfigRevision: 1})
 		Expect(w.ask("GET", "/read/x", "r4").header.Get("Retry-After")).To(Equal("0.30"))
 		w.store.SetFaults(objectstore.Faults{})
 		w.configure("1")
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -112,7 +112,7 @@
 	g := c.gateway
 	c.view = g.directory.View()
 	if c.view.Table == nil {
-		c.refuse(http.StatusServiceUnavailable, verdict.Refused(verdict.CodeStore, "no configuration yet", c.unconfiguredRetry(r)))
+		c.refuse(http.StatusServiceUnavailable, verdict.NewRejection(verdict.CodeStoreUnavailable, "no configuration yet", c.unconfiguredRetry(r)))
 		return false
 	}
 	route, ok := c.view.Table.Match(r.Host, pathOf(r.RequestURI))
@@ -157,10 +157,10 @@
 // none does not ask again, and one who is refused finds it a moment later.
 func (c *call) unknownRoute() {
 	if !c.view.Current(c.received, c.gateway.configApply()) {
-		c.refuse(http.StatusServiceUnavailable, verdict.Refused(verdict.CodeStore, "no such route in a configuration that may be old", unknownRetry))
+		c.refuse(http.StatusServiceUnavailable, verdict.NewRejection(verdict.CodeStoreUnavailable, "no such route in a configuration that may be old", unknownRetry))
 		return
 	}
-	c.refuse(http.StatusNotFound, verdict.New(verdict.NotRun, verdict.CodeUnknownTarget, "no such route"))
+	c.refuse(http.StatusNotFound, verdict.New(verdict.NotRun, verdict.CodeUnknownService, "no such route"))
 }
 
 // configApply is how long after its confirmation a configuration must be in force.
@@ -173,7 +173,7 @@
 
 // patience is how long the caller may be kept waiting.
 func (c *call) patience() time.Duration {
-	p := c.request.Patience
+	p := c.request.Timeout
 	if p <= 0 {
 		p = defaultPatience
 	}
@@ -206,7 +206,7 @@
 	read := control.SetReadDeadline(c.deadline)
 	write := control.SetWriteDeadline(c.deadline.Add(answerSlack))
 	if err := errors.Join(read, write); err != nil {
-		c.refuse(http.StatusServiceUnavailable, verdict.Refused(verdict.CodeInternal, err.Error(), unknownRetry))
+		c.refuse(http.StatusServiceUnavailable, verdict.NewRejection(verdict.CodeInternal, err.Error(), unknownRetry))
 		return false
 	}
 	return true
@@ -243,7 +243,7 @@
 	reader := io.LimitReader(r.Body, limit+1)
 	for {
 		if !c.hold(bodyChunk) {
-			c.refuse(http.StatusServiceUnavailable, verdict.Refused(verdict.CodeOverloaded, "out of memory for bodies", unknownRetry))
+			c.refuse(http.StatusServiceUnavailable, verdict.NewRejection(verdict.CodeOverloaded, "out of memory for bodies", unknownRetry))
 			return false
 		}
 		_, err := io.CopyN(&buf, reader, bodyChunk)
@@ -271,7 +271,7 @@
 // the caller has left.
 func (c *call) endRead() bool {
 	if err := http.NewResponseController(c.writer).SetReadDeadline(time.Time{}); err != nil {
-		c.refuse(http.StatusServiceUnavailable, verdict.Refused(verdict.CodeInternal, err.Error(), unknownRetry))
+		c.refuse(http.StatusServiceUnavailable, verdict.NewRejection(verdict.CodeInternal, err.Error(), unknownRetry))
 		return false
 	}
 	return true
--- a/internal/gateway/model.go
+++ b/internal/gateway/model.go
@@ -37,7 +37,7 @@
 	for first := true; first || c.mayRepeat(); first = false {
 		now := time.Now()
 		job.Suspect = c.standing.Suspected()
-		job.Prompt.Done = c.request.Prompt.Done + c.trace.events
+		job.Prompt.DeliveredEvents = c.request.Prompt.DeliveredEvents + c.trace.events
 		plan, admission, ok := g.engines.place(now, c.service.Name, job, c.urgency(now))
 		if !ok {
 			if last == nil {
@@ -47,7 +47,7 @@
 		}
 		c.trace.plan, c.trace.placed = plan, now.Sub(c.received)
 		if !admission.Admit {
-			last = verdict.Refused(verdict.CodeOverloaded, "the answer would come too late", admission.RetryAfter)
+			last = verdict.NewRejection(verdict.CodeOverloaded, "the answer would come too late", admission.RetryAfter)
 			break
 		}
 		c.priority, c.trace.bySize = admission.Priority, admission.BySize
@@ -71,11 +71,11 @@
 		// request that may have run can only be failed, not refused.
 		return place.Constraints{Objective: left, Remaining: left, Committed: true}
 	}
-	if c.request.Prompt.Done > 0 {
+	if c.request.Prompt.DeliveredEvents > 0 {
 		// The caller has the first event, and waits for the last one.
 		return place.Constraints{Objective: left, Remaining: left}
 	}
-	return place.Constraints{Objective: c.received.Add(c.route.Objective).Sub(now), Remaining: left}
+	return place.Constraints{Objective: c.received.Add(c.route.LatencyObjective).Sub(now), Remaining: left}
 }
 
 // runPlan runs the request as planned. It returns nil once it has answered.
@@ -141,7 +141,7 @@
 // lostServer is the outcome of a plan whose server has left since.
 func (c *call) lostServer(id string) *verdict.Error {
 	c.note(backend.Server{ID: id}, verdict.NotRun)
-	return verdict.Refused(verdict.CodeNoBackend, "the engine has left", leastRetry)
+	return verdict.NewRejection(verdict.CodeNoBackend, "the engine has left", leastRetry)
 }
 
 // prefill has a prompt read and returns the handle of its KV cache. It does not
@@ -179,7 +179,7 @@
 
 func (c *call) prefillFailed(reader backend.Server, why string) *verdict.Error {
 	c.note(reader, verdict.NotRun)
-	return verdict.Refused(verdict.CodeOverloaded, "prefill at "+reader.ID+": "+why, leastRetry)
+	return verdict.NewRejection(verdict.CodeOverloaded, "prefill at "+reader.ID+": "+why, leastRetry)
 }
 
 // generate has the answer generated and passes it on.
@@ -198,7 +198,7 @@
 	defer reply.Body.Close()
 	if c.started && !continues(reply) {
 		c.exclude(decoder)
-		return verdict.New(verdict.MayHaveRun, verdict.CodeBackend, "the answer does not go on with the stream: "+http.StatusText(reply.Status))
+		return verdict.New(verdict.MayHaveRun, verdict.CodeBackendFailed, "the answer does not go on with the stream: "+http.StatusText(reply.Status))
 	}
 	if !c.started {
 		c.head(reply)
@@ -213,8 +213,8 @@
 	defer func() { c.trace.events += watch.events }()
 	failed := c.passStream(decoder, watch)
 	if failed == nil {
-		events := c.request.Prompt.Done + c.trace.events + watch.events
-		g.engines.answered(c.service.Name, c.request.Prompt.Output, events)
+		events := c.request.Prompt.DeliveredEvents + c.trace.events + watch.events
+		g.engines.answered(c.service.Name, c.request.Prompt.ExpectedOutputTokens, events)
 	}
 	return failed
 }
@@ -247,7 +247,7 @@
 	}
 	c.runBroke(decoder)
 	c.exclude(decoder)
-	return verdict.New(verdict.MayHaveRun, verdict.CodeBroken, "the answer broke off: "+err.Error())
+	return verdict.New(verdict.MayHaveRun, verdict.CodeAnswerBroken, "the answer broke off: "+err.Error())
 }
 
 // refusedFor is how long an engine is left alone after it refused work: long
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -140,7 +140,7 @@
 			// A failure of a server's own is worth another try where that does
 			// no harm.
 			c.discard(reply, server)
-			last = verdict.New(verdict.Ran, verdict.CodeBackend, "the backend server failed")
+			last = verdict.New(verdict.Ran, verdict.CodeBackendFailed, "the backend server failed")
 			continue
 		}
 		if err == nil {
--- a/internal/gateway/respond.go
+++ b/internal/gateway/respond.go
@@ -86,7 +86,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	if c.verdict == verdict.NotRun {
-		c.refuse(http.StatusServiceUnavailable, verdict.Refused(e.Code, e.Message, max(leastRetry, e.RetryAfter)))
+		c.refuse(http.StatusServiceUnavailable, verdict.NewRejection(e.Code, e.Message, max(leastRetry, e.RetryAfter)))
 		return
 	}
 	status := http.StatusBadGateway
@@ -172,7 +172,7 @@
 		fields["reader"], fields["kept"], fields["tokens"] = p.PrefillEngine, p.CachedTokens, c.request.Prompt.Tokens
 		fields["expected_ms"], fields["wait_ms"], fields["read_ms"] = p.ExpectedTTFT().Milliseconds(), p.QueueDelay.Milliseconds(), p.PrefillTime.Milliseconds()
 		fields["lag_ms"] = p.PrefillLag.Milliseconds()
-		fields["length"], fields["answer_cost_ms"] = c.request.Prompt.Output, p.AnswerCost.Milliseconds()
+		fields["length"], fields["answer_cost_ms"] = c.request.Prompt.ExpectedOutputTokens, p.AnswerCost.Milliseconds()
 		fields["prefill_ms"], fields["learned"] = c.trace.prefill.Milliseconds(), p.Calibrated
 		fields["patience_ms"], fields["events"] = c.deadline.Sub(c.received).Milliseconds(), c.trace.events
 		if c.trace.bySize {
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -32,7 +32,7 @@
 	generators := lo.CountBy(c.gateway.directory.View().Service(c.service.Name), func(s backend.Server) bool {
 		return s.Role != backend.Prefill && !c.refusedBy[s.ID]
 	})
-	if !c.route.Resumable || c.ran+1 >= c.route.Attempts || generators < 2 {
+	if !c.route.Resumable || c.ran+1 >= c.route.MaxAttempts || generators < 2 {
 		return &silenceWatch{}
 	}
 	return &silenceWatch{timer: time.AfterFunc(streamSilence, giveUp)}
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -147,13 +147,13 @@
 
 // Heard takes the versions that another process told over a link. A fresh
 // process waits for some of them.
-func (m *Member) Heard(process string, v *wire.Versions) {
+func (m *Member) SetPeerVersions(process string, v *wire.Versions) {
 	m.inbox.Put(PeerVersions{Process: process, Versions: v.GetVersions()})
 }
 
 // Spent gives this entry's heaviest accounts to tell its peers. The value must
 // not be changed afterwards.
-func (m *Member) Spent(accounts *wire.Accounts) { m.inbox.Put(Spent{Accounts: accounts}) }
+func (m *Member) AnnounceUsage(accounts *wire.Accounts) { m.inbox.Put(Spent{Accounts: accounts}) }
 
 // Accounts returns what peers told of theirs. One goroutine takes from it.
 func (m *Member) Accounts() <-chan PeerAccounts { return m.accounts.C() }
--- a/internal/orders/event.go
+++ b/internal/orders/event.go
@@ -15,9 +15,9 @@
 
 // StateRead is the result of a ReadState. Asked is when the read was sent.
 type StateRead struct {
-	Asked time.Time
-	State engine.State
-	Err   error
+	RequestedAt time.Time
+	State       engine.State
+	Err         error
 }
 
 // OrderAnswered is the result of a SendOrder. Err is nil, or engine.ErrNotSent,
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -158,10 +158,10 @@
 	}
 	// A state from before the order could show the engine as ready. Requests would be
 	// admitted and then aborted by the order.
-	if e.Asked.Before(x.ignoreReadsBefore) {
+	if e.RequestedAt.Before(x.ignoreReadsBefore) {
 		return
 	}
-	x.state, x.haveState, x.stateRequestedAt = e.State, true, e.Asked
+	x.state, x.haveState, x.stateRequestedAt = e.State, true, e.RequestedAt
 }
 
 func (x *Executor) orderAnswered(now time.Time, e OrderAnswered) {
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -104,7 +104,7 @@
 		h.running = 0
 		h.handle(orders.RunningRequests{})
 	case orders.ReadState:
-		read := orders.StateRead{Asked: h.now, State: h.state}
+		read := orders.StateRead{RequestedAt: h.now, State: h.state}
 		h.readsInFlight = append(h.readsInFlight, inFlightRead{read: read, arrives: h.now.Add(h.readDelay)})
 	case orders.SendOrder:
 		h.ordersInFlight = append(h.ordersInFlight, inFlightOrder{
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -199,8 +199,8 @@
 		Reader: place.EngineHash(placement.Plan.PrefillEngine),
 		Kept:   uint32(max(0, placement.Plan.CachedTokens)),
 		LeftMs: uint32(max(0, placement.Remaining.Milliseconds())),
-		Length: uint32(max(0, placement.Prompt.Output)),
-		Done:   uint32(max(0, placement.Prompt.Done)),
+		Length: uint32(max(0, placement.Prompt.ExpectedOutputTokens)),
+		Done:   uint32(max(0, placement.Prompt.DeliveredEvents)),
 	}
 	if placement.Plan.Split() {
 		m.Decoder = place.EngineHash(placement.Plan.DecodeEngine)
@@ -377,7 +377,7 @@
 
 // decodePrompt decodes the prompt of a placement.
 func decodePrompt(m *wire.Placed) request.Prompt {
-	decoded := request.Prompt{Tokens: int(m.Tokens), Output: int(m.Length), Done: int(m.Done)}
+	decoded := request.Prompt{Tokens: int(m.Tokens), ExpectedOutputTokens: int(m.Length), DeliveredEvents: int(m.Done)}
 	total := 0
 	for i := range min(len(m.PartIds), len(m.PartTokens)) {
 		tokens := int(m.PartTokens[i])
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -156,7 +156,7 @@
 		Eventually(b.GatewayCount).WithTimeout(5 * time.Second).Should(Equal(2))
 
 		placement := place.Placement{Remaining: 5 * time.Second}
-		placement.Prompt.Output, placement.Prompt.Done = 300, 20
+		placement.Prompt.ExpectedOutputTokens, placement.Prompt.DeliveredEvents = 300, 20
 		placement.Prompt.Segments = []request.Segment{{ID: 1, Tokens: 100}, {ID: 2, Tokens: 50}}
 		placement.Prompt.Tokens = 150
 		placement.Plan = place.Plan{PrefillEngine: "i-p", DecodeEngine: "i-d", CachedTokens: 100}
@@ -185,7 +185,7 @@
 		p.SetPeers(map[string]netip.AddrPort{"f-2": listener.LocalAddr().(*net.UDPAddr).AddrPort()})
 
 		placement := place.Placement{ID: 1 << 60, Remaining: 2 * time.Second}
-		placement.Prompt.Output = 90
+		placement.Prompt.ExpectedOutputTokens = 90
 		placement.Prompt.Segments = []request.Segment{{ID: 0x5c1e07a2, Tokens: 2_520}, {ID: 0x91bd3f06, Tokens: 3_780}, {ID: 0xe4402b7d, Tokens: 2_890}}
 		placement.Prompt.Tokens = 9_190
 		placement.Plan = place.Plan{PrefillEngine: "i-7f3a91c2aa", DecodeEngine: "i-8f3a91c2aa", CachedTokens: 6_300}
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -16,7 +16,7 @@
 	// Floor is at least the highest generation of any row ever removed. New
 	// rows begin above it, so that generations rise even for a backend server
 	// that left and came back.
-	Floor uint64 `json:"floor,omitempty"`
+	GenerationFloor uint64 `json:"floor,omitempty"`
 	// Engines is keyed by the name of the backend server.
 	Engines map[string]Engine `json:"engines"`
 	// Slots is keyed by the name of the plain service.
--- a/internal/planner/duty.go
+++ b/internal/planner/duty.go
@@ -27,10 +27,10 @@
 type Source interface {
 	// Picture returns the present picture. Its Plan is not used: the duty
 	// plans on the object that it writes over.
-	Picture() Picture
+	View() View
 	// Candidate reports whether this entry may hold the lease. Only a few of a
 	// region may, for each candidate reads the lease.
-	Candidate() bool
+	LeaseCandidate() bool
 	// Offer spreads an object that the duty has written.
 	Offer(o sharedstate.Object)
 }
@@ -105,7 +105,7 @@
 
 // keepLease reads the lease, and takes or renews it.
 func (d *Duty) keepLease(ctx context.Context) error {
-	if !d.source.Candidate() {
+	if !d.source.LeaseCandidate() {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -144,7 +144,7 @@
 	if err := d.readBase(ctx); err != nil {
 		return err
 	}
-	picture := d.source.Picture()
+	picture := d.source.View()
 	if err := decodePlan(d.base, &picture.Plan); err != nil {
 		return err
 	}
@@ -190,8 +190,8 @@
 	d.base = sharedstate.Object{Name: plan.ObjectName(d.region), Version: version, Value: data}
 	d.source.Offer(d.base)
 	for _, c := range changes {
-		d.log.Add(d.clock(), c.Subject, c.Decision, c.Why)
-		log.WithFields(log.Fields{"subject": c.Subject, "why": c.Why, "plan_version": version}).Info(c.Decision)
+		d.log.Add(d.clock(), c.Subject, c.Decision, c.Reason)
+		log.WithFields(log.Fields{"subject": c.Subject, "why": c.Reason, "plan_version": version}).Info(c.Decision)
 	}
 	metrics.GetOrRegisterCounter("planner.changes", nil).Inc(int64(len(changes)))
 	return nil
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -44,7 +44,7 @@
 }
 
 // Picture is what a Planner goes by. Plan is the one in force.
-type Picture struct {
+type View struct {
 	VMs    []sharedstate.VM
 	Config fleetconfig.Config
 	Plan   plan.Plan
@@ -60,7 +60,7 @@
 type Change struct {
 	Subject  string
 	Decision string
-	Why      string
+	Reason   string
 }
 
 // Planner proposes plans for one region. Its methods are for one goroutine.
@@ -84,7 +84,7 @@
 
 // Propose returns the plan that should follow p.Plan and what it changes. With
 // no changes the two are equal and nothing is to be written.
-func (pl *Planner) Propose(now time.Time, p Picture) (plan.Plan, []Change) {
+func (pl *Planner) Propose(now time.Time, p View) (plan.Plan, []Change) {
 	next := p.Plan.Clone()
 	next.Region = pl.region
 	if next.Engines == nil {
@@ -103,7 +103,7 @@
 // draft is a proposal that is being made.
 type draft struct {
 	now     time.Time
-	picture Picture
+	picture View
 	plan    plan.Plan
 	changes []Change
 	// engines are the VMs of the region with a model engine, by name.
@@ -111,7 +111,7 @@
 }
 
 func (d *draft) note(subject, decision, why string) {
-	d.changes = append(d.changes, Change{Subject: subject, Decision: decision, Why: why})
+	d.changes = append(d.changes, Change{Subject: subject, Decision: decision, Reason: why})
 }
 
 // set changes a row and raises its generation.
@@ -145,7 +145,7 @@
 		if d.now.Sub(pl.goneAt[name]) < forgetAfter {
 			continue
 		}
-		d.plan.Floor = max(d.plan.Floor, d.plan.Engines[name].Generation)
+		d.plan.GenerationFloor = max(d.plan.GenerationFloor, d.plan.Engines[name].Generation)
 		delete(d.plan.Engines, name)
 		delete(pl.goneAt, name)
 		delete(pl.since, name)
@@ -179,7 +179,7 @@
 // ordered begins at 0 and needs no order; any other begins above all that its
 // name has seen, for one generation must not mean two things.
 func (d *draft) firstGeneration(report *wire.Load) uint64 {
-	seen := max(d.plan.Floor, report.GetGeneration())
+	seen := max(d.plan.GenerationFloor, report.GetGeneration())
 	if seen == 0 {
 		return 0
 	}
@@ -273,8 +273,8 @@
 	}
 	for name, row := range before.Engines {
 		_, kept := after.Engines[name]
-		invariant.Check(kept || after.Floor >= row.Generation, "generations only rise",
-			"%s removed at %d, floor %d", name, row.Generation, after.Floor)
+		invariant.Check(kept || after.GenerationFloor >= row.Generation, "generations only rise",
+			"%s removed at %d, floor %d", name, row.Generation, after.GenerationFloor)
 	}
 }
 
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -35,7 +35,7 @@
 // fleet is a picture that follows its plan at once.
 type fleet struct {
 	now     time.Time
-	picture Picture
+	picture View
 	planner *Planner
 }
 
@@ -43,7 +43,7 @@
 	f := &fleet{
 		now:     time.Unix(1000, 0),
 		planner: New(region),
-		picture: Picture{
+		picture: View{
 			Reports: map[string]LoadReport{},
 			Slots:   map[string]int{"holds": 16},
 		},
--- a/internal/planner/roles.go
+++ b/internal/planner/roles.go
@@ -37,7 +37,7 @@
 	for _, change := range m.planner.Step(d.now, fleet).Changes {
 		row := d.plan.Engines[change.Name]
 		row.Role = engine.Role(change.To)
-		row.Reason = change.Why
+		row.Reason = change.Reason
 		d.set(change.Name, row, "role "+string(change.To))
 		pl.since[change.Name] = d.now
 	}
@@ -76,7 +76,7 @@
 			Role:         shift.Role(row.Role),
 			Movable:      ok && present && !vm.Leaving && !drained,
 			Changing:     d.changing(name),
-			Since:        pl.since[name],
+			RoleSince:    pl.since[name],
 			QueuedTokens: int(report.GetQueuedTokens()),
 		})
 		if !ok {
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -27,7 +27,7 @@
 	// Received is when the head had been read.
 	Received time.Time
 	// Patience is how long the caller waits from then on; 0 if it did not say.
-	Patience time.Duration
+	Timeout time.Duration
 
 	Prompt Prompt
 	// LastEventID is where the caller resumes a stream; empty for a new one.
@@ -38,12 +38,12 @@
 type Prompt struct {
 	Model string
 	// Tokens is the length of the prompt, MaxOutput the most tokens of answer.
-	Tokens, MaxOutput int
+	Tokens, MaxOutputTokens int
 	// Output is how many tokens of answer the caller expects, often far off; 0 if
 	// it did not say.
-	Output int
+	ExpectedOutputTokens int
 	// Done is how many events of the answer the caller has already.
-	Done int
+	DeliveredEvents int
 	// Parts are the prompt's parts in order. The last one belongs to this
 	// request or its session, the others are shared between requests.
 	Segments []Segment
@@ -60,7 +60,7 @@
 
 const (
 	// Whole asks for the whole answer.
-	Whole Stage = iota
+	FullRequest Stage = iota
 	// PrefillOnly asks to read the prompt and keep its KV cache for another.
 	PrefillOnly
 )
@@ -88,7 +88,7 @@
 	Status int
 	Header http.Header
 	// ID is the request that is answered; empty if the server did not say.
-	ID string
+	RequestID string
 	// Sealed says that the answer carries the server's authentication code.
 	Sealed bool
 	// NotRun says that the server did not run the request and never will.
@@ -97,7 +97,7 @@
 	Load      backend.Load
 	LoadKnown bool
 	// KeepFor is how long the server keeps the connection idle, 0 if unknown.
-	KeepFor time.Duration
+	IdleTimeout time.Duration
 	// Limit is the server's own limit on what it gets.
 	Limit Limit
 }
@@ -114,7 +114,7 @@
 }
 
 // Prefilled is the answer to a PrefillOnly send.
-type Prefilled struct {
+type PrefillResult struct {
 	// Handle names the KV cache at the server that read the prompt.
 	Handle string
 	Tokens int
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -45,13 +45,13 @@
 	Timeout time.Duration
 	// Objective is the time to the first event of a stream, or to the whole
 	// answer, within which an answer is worth most.
-	Objective time.Duration
+	LatencyObjective time.Duration
 	// Pause is the longest time between two events of an answer in time; 0 is unknown.
 	InterEventObjective time.Duration
 	// Priority ranks routes; 0 is the most urgent.
 	Priority int
 	// Attempts is how many backend servers one request may be run on.
-	Attempts int
+	MaxAttempts int
 	// Targets are the services that share the route's requests.
 	Targets []Target
 	// Model says that requests carry prompts for model engines.
@@ -142,7 +142,7 @@
 	for _, rules := range t.byHost {
 		for _, r := range rules {
 			if r.Model && r.InterEventObjective > 0 && r.goesTo(service) {
-				longest = max(longest, int((r.Timeout-r.Objective)/r.InterEventObjective))
+				longest = max(longest, int((r.Timeout-r.LatencyObjective)/r.InterEventObjective))
 			}
 		}
 	}
--- a/internal/sidecar/admission.go
+++ b/internal/sidecar/admission.go
@@ -62,11 +62,11 @@
 func (g *gate) event() requests.Event {
 	switch {
 	case g.leaving:
-		return requests.StopAdmitting{Code: verdict.CodeDraining, Why: "the sidecar is shutting down"}
+		return requests.StopAdmitting{Code: verdict.CodeDraining, Reason: "the sidecar is shutting down"}
 	case g.drained:
-		return requests.StopAdmitting{Code: verdict.CodeDraining, Why: "operators drained the backend server"}
+		return requests.StopAdmitting{Code: verdict.CodeDraining, Reason: "operators drained the backend server"}
 	case !g.engineOpen:
-		return requests.StopAdmitting{Code: verdict.CodeNoBackend, Why: g.engineWhy}
+		return requests.StopAdmitting{Code: verdict.CodeNoBackend, Reason: g.engineWhy}
 	}
 	return requests.Admit{}
 }
@@ -199,8 +199,8 @@
 	d.control.setDraining(ctx, d.gate.draining())
 	decision, why := "admits requests", ""
 	if stop, ok := event.(requests.StopAdmitting); ok {
-		decision, why = "admits no requests", stop.Why
-		d.reason.Store(&stop.Why)
+		decision, why = "admits no requests", stop.Reason
+		d.reason.Store(&stop.Reason)
 	} else {
 		d.reason.Store(nil)
 	}
@@ -224,7 +224,7 @@
 func (d *admissionDuty) dump() admissionDump {
 	dump := admissionDump{EngineOpen: d.gate.engineOpen, Drained: d.gate.drained, Leaving: d.gate.leaving}
 	if stop, ok := d.gate.event().(requests.StopAdmitting); ok {
-		dump.Why = stop.Why
+		dump.Why = stop.Reason
 	} else {
 		dump.Admitting = true
 	}
--- a/internal/sidecar/backend.go
+++ b/internal/sidecar/backend.go
@@ -141,15 +141,15 @@
 func engineError(err error) error {
 	switch {
 	case errors.Is(err, engine.ErrNotSent):
-		return verdict.Refused(verdict.CodeBackend, err.Error(), refusedRetryAfter)
+		return verdict.NewRejection(verdict.CodeBackendFailed, err.Error(), refusedRetryAfter)
 	case errors.Is(err, engine.ErrRejected):
-		return verdict.Refused(verdict.CodeOverloaded, err.Error(), refusedRetryAfter)
+		return verdict.NewRejection(verdict.CodeOverloaded, err.Error(), refusedRetryAfter)
 	case errors.Is(err, engine.ErrInvalidRequest):
 		return verdict.New(verdict.NotRun, verdict.CodeBadRequest, err.Error())
 	case errors.Is(err, engine.ErrRequestFailed):
-		return verdict.New(verdict.MayHaveRun, verdict.CodeBackend, err.Error())
+		return verdict.New(verdict.MayHaveRun, verdict.CodeBackendFailed, err.Error())
 	default:
-		return verdict.New(verdict.MayHaveRun, verdict.CodeBroken, err.Error())
+		return verdict.New(verdict.MayHaveRun, verdict.CodeAnswerBroken, err.Error())
 	}
 }
 
@@ -242,7 +242,7 @@
 		n, err := body.Read(piece)
 		size += n
 		if size > maxAnswer {
-			return verdict.New(verdict.Ran, verdict.CodeBroken, "the answer of the service is too large")
+			return verdict.New(verdict.Ran, verdict.CodeAnswerBroken, "the answer of the service is too large")
 		}
 		if n > 0 {
 			if err := emit(bytes.Clone(piece[:n]), 0); err != nil {
@@ -253,7 +253,7 @@
 			return nil
 		}
 		if err != nil {
-			return verdict.New(verdict.MayHaveRun, verdict.CodeBroken, "the answer of the service broke off: "+err.Error())
+			return verdict.New(verdict.MayHaveRun, verdict.CodeAnswerBroken, "the answer of the service broke off: "+err.Error())
 		}
 	}
 }
@@ -264,11 +264,11 @@
 	var op *net.OpError
 	switch {
 	case errors.Is(err, engine.ErrDeadlinePassed):
-		return verdict.New(verdict.MayHaveRun, verdict.CodeDeadline, err.Error())
+		return verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, err.Error())
 	case errors.As(err, &op) && op.Op == "dial":
-		return verdict.Refused(verdict.CodeBackend, err.Error(), refusedRetryAfter)
+		return verdict.NewRejection(verdict.CodeBackendFailed, err.Error(), refusedRetryAfter)
 	}
-	return verdict.New(verdict.MayHaveRun, verdict.CodeUnknownResult, err.Error())
+	return verdict.New(verdict.MayHaveRun, verdict.CodeOutcomeUnknown, err.Error())
 }
 
 func wireHeaders(h http.Header) []*wire.Header {
--- a/internal/sidecar/claimer.go
+++ b/internal/sidecar/claimer.go
@@ -30,8 +30,8 @@
 }
 
 // claimAnswered returns the answer as the request table knows it.
-func claimAnswered(id requests.ClaimID, a claims.Answer) requests.ClaimAnswered {
-	answered := requests.ClaimAnswered{Claim: id, Err: a.Err()}
+func claimAnswered(id requests.ClaimID, a claims.Answer) requests.ClaimDecided {
+	answered := requests.ClaimDecided{Claim: id, Err: a.Err()}
 	switch a.Kind {
 	case claims.Granted:
 		answered.Granted = true
@@ -41,9 +41,9 @@
 	return answered
 }
 
-func replay(answered *requests.ClaimAnswered, result claims.Result) {
+func replay(answered *requests.ClaimDecided, result claims.Result) {
 	if result.BodyDropped {
-		answered.Err = verdict.New(verdict.Ran, verdict.CodeUnknownResult, "the call ran, its answer was too large to keep")
+		answered.Err = verdict.New(verdict.Ran, verdict.CodeOutcomeUnknown, "the call ran, its answer was too large to keep")
 		return
 	}
 	answered.Final = &wire.Final{Status: uint32(result.Status)}
@@ -56,7 +56,7 @@
 }
 
 // settle tells the claims how a granted call ended.
-func settle(keeper claimKeeper, r claims.Request, e requests.Settle) {
+func settle(keeper claimKeeper, r claims.Request, e requests.SettleClaim) {
 	switch e.Verdict {
 	case verdict.NotRun:
 		keeper.NotStarted(r)
@@ -67,7 +67,7 @@
 	}
 }
 
-func claimResult(e requests.Settle) claims.Result {
+func claimResult(e requests.SettleClaim) claims.Result {
 	if e.Final == nil {
 		return claims.Result{BodyDropped: true}
 	}
--- a/internal/sidecar/control.go
+++ b/internal/sidecar/control.go
@@ -206,7 +206,7 @@
 func (d *controlDuty) receive(p *peer, f *wire.Frame) {
 	switch body := f.GetBody().(type) {
 	case *wire.Frame_Versions:
-		d.member.Heard(p.process, body.Versions)
+		d.member.SetPeerVersions(p.process, body.Versions)
 		for _, o := range d.member.Snapshot().Newer(body.Versions) {
 			p.send(&wire.Frame{Body: &wire.Frame_Object{Object: o}})
 		}
--- a/internal/sidecar/duties_test.go
+++ b/internal/sidecar/duties_test.go
@@ -71,7 +71,7 @@
 		}))
 		defer backend.Close()
 		err := runCall(newPlainService(strings.TrimPrefix(backend.URL, "http://")))
-		Expect(verdict.Of(err).Code).To(Equal(verdict.CodeBroken))
+		Expect(verdict.Of(err).Code).To(Equal(verdict.CodeAnswerBroken))
 	})
 })
 
@@ -107,7 +107,7 @@
 		var got requests.Event
 		r := &runner{backend: &fakeBackend{fault: "nil map"}, post: func(e requests.Event) { got = e }}
 		r.do(context.Background(), requests.Run{Run: 7, Deadline: time.Now().Add(time.Minute)})
-		Expect(got.(requests.Ended).Err.Verdict).To(Equal(verdict.MayHaveRun))
+		Expect(got.(requests.RunFinished).Err.Verdict).To(Equal(verdict.MayHaveRun))
 	})
 
 	// The process is paused between the decision to start and the start.
@@ -115,7 +115,7 @@
 		var got requests.Event
 		r := &runner{backend: &fakeBackend{fault: "must not run"}, post: func(e requests.Event) { got = e }}
 		r.do(context.Background(), requests.Run{Run: 7, Deadline: time.Now()})
-		Expect(got.(requests.Ended).Err.Verdict).To(Equal(verdict.NotRun))
+		Expect(got.(requests.RunFinished).Err.Verdict).To(Equal(verdict.NotRun))
 	})
 })
 
@@ -164,7 +164,7 @@
 func openStream(d *requestsDuty, number byte) *stream {
 	id := [16]byte{number}
 	s := newStream(requests.Stream(number), nil)
-	d.open(s, requests.Arrived{Stream: s.number, Start: &wire.Start{
+	d.open(s, requests.StartReceived{Stream: s.number, Start: &wire.Start{
 		RequestId: id[:],
 		Attempt:   1,
 		BudgetUs:  time.Minute.Microseconds(),
@@ -226,7 +226,7 @@
 	GinkgoHelper()
 	ready := engine.State{Ready: true, Applied: engine.Order{Model: "a"}}
 	d.executor.Step(now, orders.RunningRequests{Count: 1})
-	d.executor.Step(now, orders.StateRead{Asked: now, State: ready})
+	d.executor.Step(now, orders.StateRead{RequestedAt: now, State: ready})
 	d.executor.Step(now, orders.RowReceived{Row: plan.Engine{Generation: 1, Model: "b"}})
 	Expect(d.executor.Phase()).To(Equal(orders.Draining))
 }
--- a/internal/sidecar/links.go
+++ b/internal/sidecar/links.go
@@ -212,7 +212,7 @@
 			d.requests.post(ctx, later)
 		}
 	}
-	d.requests.post(ctx, requests.StreamEnded{Stream: st.number})
+	d.requests.post(ctx, requests.StreamClosed{Stream: st.number})
 	<-st.done
 }
 
--- a/internal/sidecar/orders.go
+++ b/internal/sidecar/orders.go
@@ -183,7 +183,7 @@
 		_ = d.requests.inbox.PutWait(ctx, engineState{state: state})
 		d.reports.inbox.Put(engineState{state: state})
 	}
-	_ = d.inbox.PutWait(ctx, orders.StateRead{Asked: asked, State: state, Err: err})
+	_ = d.inbox.PutWait(ctx, orders.StateRead{RequestedAt: asked, State: state, Err: err})
 }
 
 func (d *ordersDuty) sendOrder(ctx context.Context, o engine.Order) {
--- a/internal/sidecar/requests.go
+++ b/internal/sidecar/requests.go
@@ -104,11 +104,11 @@
 
 func tableConfig(s settings.Settings) requests.Config {
 	return requests.Config{
-		Slots:       s.Sidecar.BackendServer.Slots,
-		QueueLength: s.Sidecar.QueueLength,
-		ResultBytes: s.Sidecar.ResultBytes,
-		ResumeWait:  s.Sidecar.ResumeWait,
-		Engine:      isEngine(s),
+		Slots:          s.Sidecar.BackendServer.Slots,
+		QueueLength:    s.Sidecar.QueueLength,
+		MaxAnswerBytes: s.Sidecar.ResultBytes,
+		ResumeWait:     s.Sidecar.ResumeWait,
+		ModelEngine:    isEngine(s),
 	}
 }
 
@@ -197,7 +197,7 @@
 	case requestsAsk:
 		m.reply <- d.table.Dump(now)
 	case liveAsk:
-		m.reply <- d.table.Live()
+		m.reply <- d.table.Active()
 	}
 }
 
@@ -210,12 +210,12 @@
 // release drops what is held for something that has ended.
 func (d *requestsDuty) release(event requests.Event) {
 	switch e := event.(type) {
-	case requests.StreamEnded:
+	case requests.StreamClosed:
 		delete(d.streams, e.Stream)
-	case requests.Ended:
+	case requests.RunFinished:
 		d.cancelRun(e.Run)
 		delete(d.cancels, e.Run)
-	case requests.ClaimAnswered:
+	case requests.ClaimDecided:
 		if !e.Granted {
 			delete(d.claimed, e.Claim)
 		}
@@ -243,9 +243,9 @@
 		d.cancelRun(e.Run)
 	case requests.Claim:
 		d.claim(e)
-	case requests.Settle:
+	case requests.SettleClaim:
 		d.settle(e)
-	case requests.Suspect:
+	case requests.CheckEngine:
 		d.broke.Put(struct{}{})
 	case requests.Note:
 		d.explain.Add(time.Now(), e.Subject, e.Decision, e.Why)
@@ -284,7 +284,7 @@
 	}()
 }
 
-func (d *requestsDuty) settle(e requests.Settle) {
+func (d *requestsDuty) settle(e requests.SettleClaim) {
 	request, ok := d.claimed[e.Claim]
 	if !ok {
 		return
--- a/internal/sidecar/requests/arrive.go
+++ b/internal/sidecar/requests/arrive.go
@@ -11,7 +11,7 @@
 )
 
 // arrived admits a Start, attaches it to the same request, or refuses it.
-func (t *Table) arrived(now time.Time, e Arrived) {
+func (t *Table) arrived(now time.Time, e StartReceived) {
 	id, err := uuid.FromBytes(e.Start.GetRequestId())
 	if err != nil || (e.Start.GetGenerate() == nil && e.Start.GetCall() == nil) {
 		t.refuseFrame(e, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "not a request"))
@@ -24,7 +24,7 @@
 	}
 	if t.ledger.hasForgotten(now, e.Age) {
 		// It is too late to start as well, so there is nothing to record.
-		t.refuseFrame(e, verdict.New(verdict.MayHaveRun, verdict.CodeUnknownResult, "the request may have run and been forgotten"))
+		t.refuseFrame(e, verdict.New(verdict.MayHaveRun, verdict.CodeOutcomeUnknown, "the request may have run and been forgotten"))
 		return
 	}
 	if rec, ok := t.ledger.records[k]; ok && t.answered(now, rec, e) {
@@ -38,7 +38,7 @@
 	t.admit(now, r, e.Stream)
 }
 
-func (t *Table) newRequest(now time.Time, k key, e Arrived) *request {
+func (t *Table) newRequest(now time.Time, k key, e StartReceived) *request {
 	return &request{
 		key:       k,
 		start:     e.Start,
@@ -52,19 +52,19 @@
 func (t *Table) admission(now time.Time, r *request, age time.Duration) *verdict.Error {
 	switch {
 	case t.ledger.late(now, age):
-		return verdict.Refused(verdict.CodeDeadline, "the request came too late", DefaultRetryAfter)
+		return verdict.NewRejection(verdict.CodeDeadlineExceeded, "the request came too late", DefaultRetryAfter)
 	case !now.Before(r.deadline):
-		return verdict.New(verdict.NotRun, verdict.CodeDeadline, "the deadline has passed on the way")
+		return verdict.New(verdict.NotRun, verdict.CodeDeadlineExceeded, "the deadline has passed on the way")
 	case t.closed != nil:
 		refusal := *t.closed
 		return &refusal
 	case t.suspect:
-		return verdict.Refused(verdict.CodeNoBackend, "the engine broke off", DefaultRetryAfter)
+		return verdict.NewRejection(verdict.CodeNoBackend, "the engine broke off", DefaultRetryAfter)
 	case t.ledger.full():
-		return verdict.Refused(verdict.CodeOverloaded, "too many recent requests to remember", time.Second)
+		return verdict.NewRejection(verdict.CodeOverloaded, "too many recent requests to remember", time.Second)
 	case r.keyed() && len(t.claims) >= t.cfg.QueueLength:
-		return verdict.Refused(verdict.CodeOverloaded, "too many requests wait for a claim", DefaultRetryAfter)
-	case t.engine.Load.Pieces > 0 && pieces(r.start) > t.engine.Load.Pieces:
+		return verdict.NewRejection(verdict.CodeOverloaded, "too many requests wait for a claim", DefaultRetryAfter)
+	case t.engine.Load.KVBlocks > 0 && pieces(r.start) > t.engine.Load.KVBlocks:
 		return verdict.New(verdict.NotRun, verdict.CodeTooLarge, "the request needs more KV cache than the engine has")
 	}
 	return nil
@@ -92,7 +92,7 @@
 		Deadline:     r.deadline,
 	})
 	if !ok {
-		t.endUnstarted(now, r, verdict.Refused(verdict.CodeOverloaded, "the queue is full", wait))
+		t.endUnstarted(now, r, verdict.NewRejection(verdict.CodeOverloaded, "the queue is full", wait))
 	}
 }
 
@@ -106,7 +106,7 @@
 
 // turnAway refuses a Start that was not let in, and remembers that: a second
 // copy of the frame must not start either.
-func (t *Table) turnAway(now time.Time, r *request, e Arrived, refusal *verdict.Error) {
+func (t *Table) turnAway(now time.Time, r *request, e StartReceived, refusal *verdict.Error) {
 	t.ledger.refuse(now, r.key, e.Start.GetAttempt())
 	t.note(r, "refused", refusal.Error())
 	t.refuseFrame(e, t.atWorst(r.key, refusal))
@@ -114,7 +114,7 @@
 
 // answered answers a Start from the record of its request. It returns false if
 // the attempt may run.
-func (t *Table) answered(now time.Time, rec *record, e Arrived) bool {
+func (t *Table) answered(now time.Time, rec *record, e StartReceived) bool {
 	isNew := e.Start.GetAttempt() > rec.attempts
 	if rec.verdict == verdict.NotRun {
 		if isNew {
@@ -135,6 +135,6 @@
 	if rec.idempotent && isNew {
 		return false
 	}
-	t.refuseFrame(e, verdict.New(rec.verdict, verdict.CodeUnknownResult, "the request was started before and its answer was not kept"))
+	t.refuseFrame(e, verdict.New(rec.verdict, verdict.CodeOutcomeUnknown, "the request was started before and its answer was not kept"))
 	return true
 }
--- a/internal/sidecar/requests/attach.go
+++ b/internal/sidecar/requests/attach.go
@@ -13,7 +13,7 @@
 // An entry that lost its connection sends the request again, or two requests
 // came under one id. Run twice, they would place a hold twice; joined blindly,
 // one caller would read the other's answer.
-func (t *Table) again(now time.Time, r *request, e Arrived) {
+func (t *Table) again(now time.Time, r *request, e StartReceived) {
 	refuse := func(code verdict.Code, why string) {
 		t.refuseFrame(e, verdict.New(verdict.MayHaveRun, code, why))
 	}
@@ -22,12 +22,12 @@
 		return
 	}
 	if e.Start.GetAttempt() <= r.attempt {
-		refuse(verdict.CodeUnknownResult, "the request is under way for this or a later attempt")
+		refuse(verdict.CodeOutcomeUnknown, "the request is under way for this or a later attempt")
 		return
 	}
 	next, ok := resumePoint(r, e.Start)
 	if !ok || r.stopping || t.ledger.late(now, e.Age) {
-		refuse(verdict.CodeUnknownResult, "the request is under way and cannot be joined")
+		refuse(verdict.CodeOutcomeUnknown, "the request is under way and cannot be joined")
 		return
 	}
 	t.attach(r, e, next)
@@ -43,10 +43,10 @@
 	return r.answer.after(int(from - before))
 }
 
-func (t *Table) attach(r *request, e Arrived, next int) {
+func (t *Table) attach(r *request, e StartReceived, next int) {
 	if old := r.stream; old != nil {
 		t.sendRefusal(old.stream, r.key, old.attempt,
-			verdict.New(verdict.MayHaveRun, verdict.CodeUnknownResult, "a later attempt took over"))
+			verdict.New(verdict.MayHaveRun, verdict.CodeOutcomeUnknown, "a later attempt took over"))
 		t.unsubscribe(r)
 	}
 	t.note(r, "attached", "a later attempt takes the answer over")
--- a/internal/sidecar/requests/claim.go
+++ b/internal/sidecar/requests/claim.go
@@ -22,13 +22,13 @@
 	})
 }
 
-func (t *Table) claimAnswered(now time.Time, e ClaimAnswered) {
+func (t *Table) claimAnswered(now time.Time, e ClaimDecided) {
 	r, ok := t.claims[e.Claim]
 	if !ok {
 		// The request was given up meanwhile and never starts: its key is
 		// free again.
 		if e.Granted {
-			t.emit(Settle{Claim: e.Claim, Verdict: verdict.NotRun})
+			t.emit(SettleClaim{Claim: e.Claim, Verdict: verdict.NotRun})
 		}
 		return
 	}
@@ -45,7 +45,7 @@
 }
 
 // claimReplayed answers with what an earlier request with the key got.
-func (t *Table) claimReplayed(now time.Time, r *request, e ClaimAnswered) {
+func (t *Table) claimReplayed(now time.Time, r *request, e ClaimDecided) {
 	stream := r.stream
 	t.note(r, "replayed", "the idempotency key has a kept answer")
 	rec := t.retire(now, r, verdict.Ran)
@@ -76,7 +76,7 @@
 		return
 	}
 	r.claimed = false
-	settle := Settle{Claim: r.claim, Verdict: v}
+	settle := SettleClaim{Claim: r.claim, Verdict: v}
 	if v == verdict.Ran && final != nil && !r.answer.dropped {
 		settle.Chunks, settle.Final = r.answer.chunks, final
 	}
--- a/internal/sidecar/requests/effect.go
+++ b/internal/sidecar/requests/effect.go
@@ -45,7 +45,7 @@
 	// Settle ends a granted claim. Verdict NotRun frees the key; Ran records
 	// Chunks and Final, which are nil if the answer was not whole; after
 	// MayHaveRun the key is never free again.
-	Settle struct {
+	SettleClaim struct {
 		Claim   ClaimID
 		Verdict verdict.Verdict
 		Chunks  []*wire.Chunk
@@ -53,16 +53,16 @@
 	}
 
 	// Suspect says that the engine broke off: its state is to be read.
-	Suspect struct{}
+	CheckEngine struct{}
 
 	// Note is a decision for the log of decisions.
 	Note struct{ Subject, Decision, Why string }
 )
 
-func (Send) isEffect()      {}
-func (Run) isEffect()       {}
-func (CancelRun) isEffect() {}
-func (Claim) isEffect()     {}
-func (Settle) isEffect()    {}
-func (Suspect) isEffect()   {}
-func (Note) isEffect()      {}
+func (Send) isEffect()        {}
+func (Run) isEffect()         {}
+func (CancelRun) isEffect()   {}
+func (Claim) isEffect()       {}
+func (SettleClaim) isEffect() {}
+func (CheckEngine) isEffect() {}
+func (Note) isEffect()        {}
--- a/internal/sidecar/requests/event.go
+++ b/internal/sidecar/requests/event.go
@@ -23,7 +23,7 @@
 
 type (
 	// Arrived is a Start frame, the first of its stream.
-	Arrived struct {
+	StartReceived struct {
 		Stream Stream
 		Start  *wire.Start
 		// Age is how long ago the frame was sent, at most; AgeUnknown if there
@@ -33,13 +33,13 @@
 
 	// Cancelled is a Cancel frame on the stream of an attempt: its caller gave
 	// the request up.
-	Cancelled struct{ Stream Stream }
+	CancelReceived struct{ Stream Stream }
 
 	// StreamEnded says that nothing more can be sent on the stream.
-	StreamEnded struct{ Stream Stream }
+	StreamClosed struct{ Stream Stream }
 
 	// ResolveAsked is a Resolve frame, the first of its stream.
-	ResolveAsked struct {
+	ResolveReceived struct {
 		Stream  Stream
 		Resolve *wire.Resolve
 		// StartAge is the age of the Start that is asked about, at most;
@@ -51,7 +51,7 @@
 	// claim is committed and the call may run once; Final, with Chunks, is the
 	// kept answer of an earlier request with the key; Err is why the call does
 	// not run here, with the verdict on the key.
-	ClaimAnswered struct {
+	ClaimDecided struct {
 		Claim   ClaimID
 		Granted bool
 		Chunks  []*wire.Chunk
@@ -60,7 +60,7 @@
 	}
 
 	// Piece is a part of the answer of a run.
-	Piece struct {
+	ChunkReceived struct {
 		Run    RunID
 		Data   []byte
 		Tokens uint32
@@ -68,7 +68,7 @@
 
 	// Ended ends a run. Exactly one of Final and Err is set. Final has no
 	// request id, count or digest yet.
-	Ended struct {
+	RunFinished struct {
 		Run   RunID
 		Final *wire.Final
 		Err   *verdict.Error
@@ -77,8 +77,8 @@
 	// StopAdmitting refuses all new and waiting requests until Admit, with
 	// Code and Why.
 	StopAdmitting struct {
-		Code verdict.Code
-		Why  string
+		Code   verdict.Code
+		Reason string
 	}
 
 	// Admit lets requests in. The engine, if any, is known to be ready.
@@ -101,15 +101,15 @@
 // AgeUnknown is the age of a frame whose sender knows no bound.
 const AgeUnknown time.Duration = -1
 
-func (Arrived) isEvent()       {}
-func (Cancelled) isEvent()     {}
-func (StreamEnded) isEvent()   {}
-func (ResolveAsked) isEvent()  {}
-func (ClaimAnswered) isEvent() {}
-func (Piece) isEvent()         {}
-func (Ended) isEvent()         {}
-func (StopAdmitting) isEvent() {}
-func (Admit) isEvent()         {}
-func (HandOver) isEvent()      {}
-func (EngineReport) isEvent()  {}
-func (Tick) isEvent()          {}
+func (StartReceived) isEvent()   {}
+func (CancelReceived) isEvent()  {}
+func (StreamClosed) isEvent()    {}
+func (ResolveReceived) isEvent() {}
+func (ClaimDecided) isEvent()    {}
+func (ChunkReceived) isEvent()   {}
+func (RunFinished) isEvent()     {}
+func (StopAdmitting) isEvent()   {}
+func (Admit) isEvent()           {}
+func (HandOver) isEvent()        {}
+func (EngineReport) isEvent()    {}
+func (Tick) isEvent()            {}
--- a/internal/sidecar/requests/expire.go
+++ b/internal/sidecar/requests/expire.go
@@ -21,19 +21,19 @@
 
 func removalError(reason queue.Reason) *verdict.Error {
 	if reason == queue.Displaced {
-		return verdict.Refused(verdict.CodeOverloaded, reason.String(), DefaultRetryAfter)
+		return verdict.NewRejection(verdict.CodeOverloaded, reason.String(), DefaultRetryAfter)
 	}
-	return verdict.New(verdict.NotRun, verdict.CodeDeadline, reason.String())
+	return verdict.New(verdict.NotRun, verdict.CodeDeadlineExceeded, reason.String())
 }
 
 func (t *Table) expireOne(now time.Time, r *request) {
 	late := !now.Before(r.deadline)
 	switch {
 	case late && r.phase != running:
-		t.endUnstarted(now, r, verdict.New(verdict.NotRun, verdict.CodeDeadline, "the deadline has passed while waiting"))
+		t.endUnstarted(now, r, verdict.New(verdict.NotRun, verdict.CodeDeadlineExceeded, "the deadline has passed while waiting"))
 	case r.phase != running:
 	case late && r.stream != nil:
-		t.giveUp(now, r, verdict.CodeDeadline, "the deadline has passed")
+		t.giveUp(now, r, verdict.CodeDeadlineExceeded, "the deadline has passed")
 	case r.stream == nil && now.Sub(r.orphanedAt) >= t.cfg.ResumeWait:
 		t.stop(r)
 	case now.Sub(r.startedAt) >= t.cfg.MaxRun && !r.stopping:
--- a/internal/sidecar/requests/frame.go
+++ b/internal/sidecar/requests/frame.go
@@ -13,10 +13,10 @@
 	switch body := f.GetBody().(type) {
 	case *wire.Frame_Start:
 		age := frameAge(clock, body.Start.GetClockUs())
-		return Arrived{Stream: stream, Start: body.Start, Age: age}, true
+		return StartReceived{Stream: stream, Start: body.Start, Age: age}, true
 	case *wire.Frame_Resolve:
 		age := frameAge(clock, body.Resolve.GetClockUs())
-		return ResolveAsked{Stream: stream, Resolve: body.Resolve, StartAge: age}, true
+		return ResolveReceived{Stream: stream, Resolve: body.Resolve, StartAge: age}, true
 	}
 	return nil, false
 }
@@ -27,7 +27,7 @@
 	if f.GetCancel() == nil {
 		return nil, false
 	}
-	return Cancelled{Stream: stream}, true
+	return CancelReceived{Stream: stream}, true
 }
 
 // frameAge returns how old a frame is at most. A negative age would be a clock
--- a/internal/sidecar/requests/fuzz_test.go
+++ b/internal/sidecar/requests/fuzz_test.go
@@ -20,7 +20,7 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		table := requests.New(requests.Config{
-			Slots: 2, QueueLength: 2, ResultBytes: 64, ResumeWait: time.Second, Records: 4,
+			Slots: 2, QueueLength: 2, MaxAnswerBytes: 64, ResumeWait: time.Second, Records: 4,
 		}, rand.New(rand.NewPCG(1, 2)))
 		now := time.Unix(1_000_000, 0)
 		table.Step(now, requests.Admit{})
--- a/internal/sidecar/requests/giveup.go
+++ b/internal/sidecar/requests/giveup.go
@@ -7,7 +7,7 @@
 )
 
 // cancelled gives a request up.
-func (t *Table) cancelled(now time.Time, e Cancelled) {
+func (t *Table) cancelled(now time.Time, e CancelReceived) {
 	if r, ok := t.streams[e.Stream]; ok {
 		t.giveUp(now, r, verdict.CodeCancelled, "the caller gave the request up")
 	}
@@ -52,7 +52,7 @@
 
 // streamEnded makes an orphan of the request on the stream. What has not
 // started is dropped: its entry asks on another connection and hears so.
-func (t *Table) streamEnded(now time.Time, e StreamEnded) {
+func (t *Table) streamEnded(now time.Time, e StreamClosed) {
 	r, ok := t.streams[e.Stream]
 	if !ok {
 		return
@@ -68,7 +68,7 @@
 
 // stopAdmitting refuses all that waits, so that it can go elsewhere.
 func (t *Table) stopAdmitting(now time.Time, e StopAdmitting) {
-	t.closed = verdict.Refused(e.Code, e.Why, DefaultRetryAfter)
+	t.closed = verdict.NewRejection(e.Code, e.Reason, DefaultRetryAfter)
 	for _, r := range t.inOrder() {
 		if r.phase != running {
 			refusal := *t.closed
--- a/internal/sidecar/requests/load.go
+++ b/internal/sidecar/requests/load.go
@@ -27,7 +27,7 @@
 		Slots:        uint32(t.cfg.Slots),
 		QueuedTokens: uint64(t.queue.QueuedTokens()),
 		KvPiecesUsed: uint32(t.piecesUsed()),
-		KvPieces:     uint32(t.engine.Load.Pieces),
+		KvPieces:     uint32(t.engine.Load.KVBlocks),
 		PrefillRate:  t.prefillRate(),
 		DecodeRate:   cmp.Or(t.engine.Load.DecodeRate, t.meter.decodeRate),
 		Role:         string(t.engine.State.Applied.Role),
@@ -63,7 +63,7 @@
 // it has started itself.
 func (t *Table) room() (slots, pieces int) {
 	slots = t.cfg.Slots - len(t.runs)
-	total := t.engine.Load.Pieces
+	total := t.engine.Load.KVBlocks
 	if total == 0 {
 		return slots, math.MaxInt
 	}
--- a/internal/sidecar/requests/random_test.go
+++ b/internal/sidecar/requests/random_test.go
@@ -128,12 +128,12 @@
 		slots:   rapid.IntRange(1, 3).Draw(t, "slots"),
 	}
 	w.table = requests.New(requests.Config{
-		Slots:       w.slots,
-		QueueLength: rapid.IntRange(1, 4).Draw(t, "queue"),
-		ResultBytes: rapid.IntRange(200, 3000).Draw(t, "result bytes"),
-		ResumeWait:  3 * time.Second,
-		Records:     rapid.IntRange(2, 20).Draw(t, "records"),
-		Engine:      true,
+		Slots:          w.slots,
+		QueueLength:    rapid.IntRange(1, 4).Draw(t, "queue"),
+		MaxAnswerBytes: rapid.IntRange(200, 3000).Draw(t, "result bytes"),
+		ResumeWait:     3 * time.Second,
+		Records:        rapid.IntRange(2, 20).Draw(t, "records"),
+		ModelEngine:    true,
 	}, rand.New(rand.NewPCG(1, 2)))
 	w.step(requests.Admit{})
 	return w
@@ -208,7 +208,7 @@
 		from:    int(f.start.GetGenerate().GetResumeFrom()),
 		digest:  wire.NewDigest(),
 	}
-	w.step(requests.Arrived{Stream: w.next, Start: f.start, Age: age})
+	w.step(requests.StartReceived{Stream: w.next, Start: f.start, Age: age})
 }
 
 func (w *world) resolve(t *rapid.T) {
@@ -222,7 +222,7 @@
 	}
 	w.next++
 	w.streams[w.next] = &stream{request: f.request, attempt: f.request.attempts, digest: wire.NewDigest()}
-	w.step(requests.ResolveAsked{Stream: w.next, Resolve: ask, StartAge: w.now.Sub(w.firstSent(f.request))})
+	w.step(requests.ResolveReceived{Stream: w.next, Resolve: ask, StartAge: w.now.Sub(w.firstSent(f.request))})
 }
 
 func (w *world) firstSent(r *request) time.Time {
@@ -235,13 +235,13 @@
 }
 
 func (w *world) cancel(t *rapid.T) {
-	w.step(requests.Cancelled{Stream: w.anyStream(t)})
+	w.step(requests.CancelReceived{Stream: w.anyStream(t)})
 }
 
 func (w *world) loseLink(t *rapid.T) {
 	s := w.anyStream(t)
 	w.streams[s].gone = true
-	w.step(requests.StreamEnded{Stream: s})
+	w.step(requests.StreamClosed{Stream: s})
 }
 
 func (w *world) anyStream(t *rapid.T) requests.Stream {
@@ -259,7 +259,7 @@
 	}
 	data := r.request.word(r.position)
 	r.position++
-	w.step(requests.Piece{Run: id, Data: []byte(data), Tokens: 1})
+	w.step(requests.ChunkReceived{Run: id, Data: []byte(data), Tokens: 1})
 }
 
 // word is the token of r's answer at position i; no other answer has it.
@@ -296,12 +296,12 @@
 	switch {
 	case how == 0:
 		w.seen["engine failure"]++
-		w.step(requests.Ended{Run: id, Err: verdict.New(verdict.MayHaveRun, verdict.CodeBroken, "crash")})
+		w.step(requests.RunFinished{Run: id, Err: verdict.New(verdict.MayHaveRun, verdict.CodeAnswerBroken, "crash")})
 	case how == 1 && r.position == int(r.start.GetGenerate().GetResumeFrom()):
 		// The engine never took it.
 		delete(r.request.started, r.start.GetAttempt())
 		r.request.runs--
-		w.step(requests.Ended{Run: id, Err: verdict.New(verdict.NotRun, verdict.CodeBackend, "refused")})
+		w.step(requests.RunFinished{Run: id, Err: verdict.New(verdict.NotRun, verdict.CodeBackendFailed, "refused")})
 	default:
 		w.complete(id, r)
 	}
@@ -309,12 +309,12 @@
 
 func (w *world) complete(id requests.RunID, r *run) {
 	if r.request.kind != "draft" {
-		w.step(requests.Piece{Run: id, Data: []byte(r.request.word(0))})
+		w.step(requests.ChunkReceived{Run: id, Data: []byte(r.request.word(0))})
 	}
 	for ; r.request.kind == "draft" && r.position < 8; r.position++ {
-		w.step(requests.Piece{Run: id, Data: []byte(r.request.word(r.position)), Tokens: 1})
+		w.step(requests.ChunkReceived{Run: id, Data: []byte(r.request.word(r.position)), Tokens: 1})
 	}
-	w.step(requests.Ended{Run: id, Final: &wire.Final{Status: 201}})
+	w.step(requests.RunFinished{Run: id, Final: &wire.Final{Status: 201}})
 }
 
 func (w *world) answerClaim(t *rapid.T) {
@@ -324,7 +324,7 @@
 	id := rapid.SampledFrom(sortedKeys(w.claims)).Draw(t, "claim")
 	r := w.claims[id]
 	delete(w.claims, id)
-	answer := requests.ClaimAnswered{Claim: id, Err: verdict.Refused(verdict.CodeStore, "down", time.Second)}
+	answer := requests.ClaimDecided{Claim: id, Err: verdict.NewRejection(verdict.CodeStoreUnavailable, "down", time.Second)}
 	switch rapid.IntRange(0, 3).Draw(t, "answer") {
 	case 0:
 		answer.Err.Verdict = verdict.MayHaveRun
@@ -360,7 +360,7 @@
 func (w *world) admission(t *rapid.T) {
 	switch rapid.IntRange(0, 4).Draw(t, "admission") {
 	case 0:
-		w.step(requests.StopAdmitting{Code: verdict.CodeDraining, Why: "drained"})
+		w.step(requests.StopAdmitting{Code: verdict.CodeDraining, Reason: "drained"})
 	case 1:
 		w.step(requests.HandOver{})
 	default:
@@ -386,7 +386,7 @@
 
 func (w *world) reportEngine(t *rapid.T) {
 	pieces := rapid.SampledFrom([]int{0, 1, 4}).Draw(t, "pieces")
-	w.step(requests.EngineReport{Load: engine.Load{Pieces: pieces}})
+	w.step(requests.EngineReport{Load: engine.Load{KVBlocks: pieces}})
 }
 
 func (w *world) step(e requests.Event) { w.take(w.table.Step(w.now, e)) }
@@ -403,7 +403,7 @@
 			w.runs[e.Run].stopped = true
 		case requests.Claim:
 			w.claims[e.Claim] = w.byID(e.Key, e.Claim)
-		case requests.Settle:
+		case requests.SettleClaim:
 			w.settled(e)
 		case requests.Note:
 			if e.Decision == "attached" {
@@ -446,7 +446,7 @@
 	return nil
 }
 
-func (w *world) settled(e requests.Settle) {
+func (w *world) settled(e requests.SettleClaim) {
 	for _, r := range w.requests {
 		if r.granted[e.Claim] && e.Verdict == verdict.NotRun && r.runs > 0 {
 			w.t.Fatalf("request %s ran and its key is free again", r.id)
@@ -540,8 +540,8 @@
 	for len(w.runs)+len(w.claims) > 0 {
 		for _, id := range sortedKeys(w.claims) {
 			delete(w.claims, id)
-			err := verdict.Refused(verdict.CodeStore, "down", time.Second)
-			w.step(requests.ClaimAnswered{Claim: id, Err: err})
+			err := verdict.NewRejection(verdict.CodeStoreUnavailable, "down", time.Second)
+			w.step(requests.ClaimDecided{Claim: id, Err: err})
 		}
 		for _, id := range sortedKeys(w.runs) {
 			w.finish(id, 2)
@@ -549,8 +549,8 @@
 	}
 	w.now = w.now.Add(2 * time.Minute)
 	w.step(requests.Tick{})
-	if w.table.Live() != 0 {
-		w.t.Fatalf("%d requests are left", w.table.Live())
+	if w.table.Active() != 0 {
+		w.t.Fatalf("%d requests are left", w.table.Active())
 	}
 	for number, s := range w.streams {
 		if !s.last && !s.gone {
--- a/internal/sidecar/requests/recover.go
+++ b/internal/sidecar/requests/recover.go
@@ -26,7 +26,7 @@
 	for _, r := range t.inOrder() {
 		next.adopt(now, r, begun)
 	}
-	if e, ok := t.handling.(Ended); ok {
+	if e, ok := t.handling.(RunFinished); ok {
 		next.lostEnd(now, e.Run)
 	}
 	return next, next.effects
@@ -60,7 +60,7 @@
 	}
 	if r.phase != running || begun[r.run] {
 		r.phase = queued
-		t.endUnstarted(now, r, verdict.Refused(verdict.CodeInternal, recovering, DefaultRetryAfter))
+		t.endUnstarted(now, r, verdict.NewRejection(verdict.CodeInternal, recovering, DefaultRetryAfter))
 		return
 	}
 	t.runs[r.run] = r
--- a/internal/sidecar/requests/requests.go
+++ b/internal/sidecar/requests/requests.go
@@ -54,7 +54,7 @@
 	// QueueLength bounds the requests that wait, for a claim or for a slot.
 	QueueLength int
 	// ResultBytes bounds the answers kept.
-	ResultBytes int
+	MaxAnswerBytes int
 	// ResumeWait is how long a generation without a stream goes on.
 	ResumeWait time.Duration
 	// MaxFrameAge is the age from which a Start is refused unseen.
@@ -65,7 +65,7 @@
 	MaxRun time.Duration
 	// Engine says that the backend server is a model engine: after a run that
 	// ended with CodeBroken nothing starts until Admit.
-	Engine bool
+	ModelEngine bool
 }
 
 // Table is the request table. Its methods are for one goroutine.
@@ -108,9 +108,9 @@
 		streams: map[Stream]*request{},
 		runs:    map[RunID]*request{},
 		claims:  map[ClaimID]*request{},
-		queue:   queue.New(queue.Config{MaxItems: cfg.QueueLength, PieceTokens: engine.KVBlockTokens}),
-		ledger:  newLedger(cfg.Records, cfg.ResultBytes, cfg.MaxFrameAge),
-		closed:  verdict.Refused(verdict.CodeNoBackend, "the sidecar has just started", DefaultRetryAfter),
+		queue:   queue.New(queue.Config{MaxItems: cfg.QueueLength, KVBlockTokens: engine.KVBlockTokens}),
+		ledger:  newLedger(cfg.Records, cfg.MaxAnswerBytes, cfg.MaxFrameAge),
+		closed:  verdict.NewRejection(verdict.CodeNoBackend, "the sidecar has just started", DefaultRetryAfter),
 	}
 }
 
@@ -118,7 +118,7 @@
 func (t *Table) Step(now time.Time, event Event) []Effect {
 	t.effects, t.handling = nil, event
 	t.dispatch(now, event)
-	if _, ok := event.(Piece); !ok {
+	if _, ok := event.(ChunkReceived); !ok {
 		// Pieces come by the thousand and decide nothing.
 		t.expire(now)
 		t.startReady(now)
@@ -130,19 +130,19 @@
 
 func (t *Table) dispatch(now time.Time, event Event) {
 	switch e := event.(type) {
-	case Arrived:
+	case StartReceived:
 		t.arrived(now, e)
-	case Cancelled:
+	case CancelReceived:
 		t.cancelled(now, e)
-	case StreamEnded:
+	case StreamClosed:
 		t.streamEnded(now, e)
-	case ResolveAsked:
+	case ResolveReceived:
 		t.resolve(now, e)
-	case ClaimAnswered:
+	case ClaimDecided:
 		t.claimAnswered(now, e)
-	case Piece:
+	case ChunkReceived:
 		t.piece(now, e)
-	case Ended:
+	case RunFinished:
 		t.ended(now, e)
 	case StopAdmitting:
 		t.stopAdmitting(now, e)
@@ -162,7 +162,7 @@
 
 // Live returns how many requests have no outcome yet: waiting for a claim,
 // queued or running.
-func (t *Table) Live() int { return len(t.live) }
+func (t *Table) Active() int { return len(t.live) }
 
 // Admitting reports whether new requests are admitted.
 func (t *Table) Admitting() bool { return t.closed == nil }
--- a/internal/sidecar/requests/requests_test.go
+++ b/internal/sidecar/requests/requests_test.go
@@ -22,7 +22,7 @@
 var _ = Describe("Table", func() {
 	var d *driver
 	BeforeEach(func() {
-		d = newDriver(requests.Config{Slots: 1, QueueLength: 4, ResultBytes: 1 << 10, ResumeWait: 3 * time.Second})
+		d = newDriver(requests.Config{Slots: 1, QueueLength: 4, MaxAnswerBytes: 1 << 10, ResumeWait: 3 * time.Second})
 		d.step(requests.Admit{})
 	})
 
@@ -45,7 +45,7 @@
 			Expect(d.resolve(id).GetOutcome()).To(Equal(wire.Outcome_OUTCOME_NOT_RUN))
 			d.pass(time.Hour)
 			d.step(requests.Tick{})
-			late := requests.Arrived{Stream: d.stream(), Start: call(id), Age: time.Hour}
+			late := requests.StartReceived{Stream: d.stream(), Start: call(id), Age: time.Hour}
 			d.step(late)
 			Expect(d.refusal(late.Stream).GetVerdict()).To(Equal(wire.Verdict_VERDICT_NOT_RUN))
 			Expect(d.started(id)).To(BeZero())
@@ -66,7 +66,7 @@
 		It("gets its kept answer", func() {
 			id := newID()
 			stream := d.arrive(call(id))
-			d.step(requests.StreamEnded{Stream: stream})
+			d.step(requests.StreamClosed{Stream: stream})
 			Expect(d.resolve(id).GetOutcome()).To(Equal(wire.Outcome_OUTCOME_RUNNING))
 			d.finish(id)
 			resolution := d.resolve(id)
@@ -111,7 +111,7 @@
 			stream := d.arrive(draft(id))
 			d.piece(id, "a")
 			d.piece(id, "b")
-			d.step(requests.StreamEnded{Stream: stream})
+			d.step(requests.StreamClosed{Stream: stream})
 			resumed := draft(id)
 			resumed.Attempt = 2
 			resumed.GetGenerate().ResumeFrom = 1
@@ -141,9 +141,9 @@
 		// was sent.
 		It("counts the time that the frame was under way", func() {
 			id := newID()
-			late := requests.Arrived{Stream: d.stream(), Start: call(id), Age: 11 * time.Second}
+			late := requests.StartReceived{Stream: d.stream(), Start: call(id), Age: 11 * time.Second}
 			d.step(late)
-			Expect(d.refusal(late.Stream).GetCode()).To(BeEquivalentTo(verdict.CodeDeadline))
+			Expect(d.refusal(late.Stream).GetCode()).To(BeEquivalentTo(verdict.CodeDeadlineExceeded))
 			Expect(d.started(id)).To(BeZero())
 		})
 
@@ -168,7 +168,7 @@
 			running, waiting := newID(), newID()
 			d.arrive(call(running))
 			stream := d.arrive(call(waiting))
-			d.step(requests.Cancelled{Stream: stream})
+			d.step(requests.CancelReceived{Stream: stream})
 			Expect(d.refusal(stream).GetVerdict()).To(Equal(wire.Verdict_VERDICT_NOT_RUN))
 			d.finish(running)
 			Expect(d.started(waiting)).To(BeZero())
@@ -177,7 +177,7 @@
 		It("stops a running draft and answers before the engine does", func() {
 			id := newID()
 			stream := d.arrive(draft(id))
-			d.step(requests.Cancelled{Stream: stream})
+			d.step(requests.CancelReceived{Stream: stream})
 			Expect(d.stopped(id)).To(BeTrue())
 			Expect(d.refusal(stream).GetVerdict()).To(Equal(wire.Verdict_VERDICT_MAY_HAVE_RUN))
 		})
@@ -188,7 +188,7 @@
 			id := newID()
 			stream := d.arrive(draft(id))
 			d.piece(id, "a")
-			d.step(requests.Cancelled{Stream: stream})
+			d.step(requests.CancelReceived{Stream: stream})
 			d.piece(id, "b")
 			d.finish(id)
 			Expect(d.resolve(id).GetFinal()).To(BeNil())
@@ -198,7 +198,7 @@
 	Describe("a stream that is lost", func() {
 		It("leaves a draft running for a while, then stops it", func() {
 			id := newID()
-			d.step(requests.StreamEnded{Stream: d.arrive(draft(id))})
+			d.step(requests.StreamClosed{Stream: d.arrive(draft(id))})
 			d.pass(2 * time.Second)
 			d.step(requests.Tick{})
 			Expect(d.stopped(id)).To(BeFalse())
@@ -209,7 +209,7 @@
 
 		It("leaves a call that may not be repeated to its end", func() {
 			id := newID()
-			d.step(requests.StreamEnded{Stream: d.arrive(call(id))})
+			d.step(requests.StreamClosed{Stream: d.arrive(call(id))})
 			d.pass(time.Minute)
 			d.step(requests.Tick{})
 			Expect(d.stopped(id)).To(BeFalse())
@@ -233,7 +233,7 @@
 		It("is free again when the call was given up before it ran", func() {
 			id := newID()
 			stream := d.arrive(keyedCall(id))
-			d.step(requests.Cancelled{Stream: stream})
+			d.step(requests.CancelReceived{Stream: stream})
 			d.grantClaim()
 			Expect(d.started(id)).To(BeZero())
 			Expect(d.settled().Verdict).To(Equal(verdict.NotRun))
@@ -244,16 +244,16 @@
 		It("that is not granted runs nothing", func() {
 			id := newID()
 			stream := d.arrive(keyedCall(id))
-			err := verdict.New(verdict.MayHaveRun, verdict.CodeUnknownResult, "its result is lost")
-			d.step(requests.ClaimAnswered{Claim: d.claim(), Err: err})
+			err := verdict.New(verdict.MayHaveRun, verdict.CodeOutcomeUnknown, "its result is lost")
+			d.step(requests.ClaimDecided{Claim: d.claim(), Err: err})
 			Expect(d.started(id)).To(BeZero())
-			Expect(d.refusal(stream).GetCode()).To(BeEquivalentTo(verdict.CodeUnknownResult))
+			Expect(d.refusal(stream).GetCode()).To(BeEquivalentTo(verdict.CodeOutcomeUnknown))
 			Expect(d.refusal(stream).GetVerdict()).To(Equal(wire.Verdict_VERDICT_MAY_HAVE_RUN))
 		})
 
 		It("replays the kept answer", func() {
 			stream := d.arrive(keyedCall(newID()))
-			d.step(requests.ClaimAnswered{
+			d.step(requests.ClaimDecided{
 				Claim:  d.claim(),
 				Chunks: []*wire.Chunk{{Data: []byte("hold 7")}},
 				Final:  &wire.Final{Status: 201},
@@ -271,8 +271,8 @@
 			stream := d.arrive(draft(id))
 			d.arrive(draft(waiting))
 			d.piece(id, "a")
-			d.end(id, verdict.New(verdict.MayHaveRun, verdict.CodeBroken, "gone"))
-			Expect(d.refusal(stream).GetCode()).To(BeEquivalentTo(verdict.CodeBroken))
+			d.end(id, verdict.New(verdict.MayHaveRun, verdict.CodeAnswerBroken, "gone"))
+			Expect(d.refusal(stream).GetCode()).To(BeEquivalentTo(verdict.CodeAnswerBroken))
 			Expect(d.suspected).To(BeTrue())
 			Expect(d.started(waiting)).To(BeZero())
 			d.step(requests.Admit{})
@@ -285,13 +285,13 @@
 		It("does not call a request not run for its last attempt alone", func() {
 			id, other := newID(), newID()
 			d.arrive(draft(id))
-			d.end(id, verdict.New(verdict.MayHaveRun, verdict.CodeBroken, "gone"))
+			d.end(id, verdict.New(verdict.MayHaveRun, verdict.CodeAnswerBroken, "gone"))
 			d.step(requests.Admit{})
 			d.arrive(draft(other))
 			second := draft(id)
 			second.Attempt = 2
 			stream := d.arrive(second)
-			d.step(requests.StopAdmitting{Code: verdict.CodeDraining, Why: "drained"})
+			d.step(requests.StopAdmitting{Code: verdict.CodeDraining, Reason: "drained"})
 			Expect(d.refusal(stream).GetVerdict()).To(Equal(wire.Verdict_VERDICT_MAY_HAVE_RUN))
 		})
 
@@ -302,7 +302,7 @@
 			id, waiting := newID(), newID()
 			d.arrive(draft(id))
 			d.arrive(draft(waiting))
-			d.end(id, verdict.New(verdict.MayHaveRun, verdict.CodeBackend, "out of memory"))
+			d.end(id, verdict.New(verdict.MayHaveRun, verdict.CodeBackendFailed, "out of memory"))
 			Expect(d.suspected).To(BeFalse())
 			Expect(d.started(waiting)).To(Equal(1))
 		})
@@ -313,7 +313,7 @@
 			id := newID()
 			stream := d.arrive(draft(id))
 			d.piece(id, "a")
-			d.end(id, verdict.New(verdict.NotRun, verdict.CodeBackend, "refused"))
+			d.end(id, verdict.New(verdict.NotRun, verdict.CodeBackendFailed, "refused"))
 			Expect(d.refusal(stream).GetVerdict()).To(Equal(wire.Verdict_VERDICT_MAY_HAVE_RUN))
 		})
 	})
@@ -325,7 +325,7 @@
 			running, waiting := newID(), newID()
 			d.arrive(draft(running))
 			stream := d.arrive(draft(waiting))
-			d.step(requests.StopAdmitting{Code: verdict.CodeDraining, Why: "drained"})
+			d.step(requests.StopAdmitting{Code: verdict.CodeDraining, Reason: "drained"})
 			Expect(d.refusal(stream).GetVerdict()).To(Equal(wire.Verdict_VERDICT_NOT_RUN))
 			Expect(d.stopped(running)).To(BeFalse())
 			d.step(requests.HandOver{})
@@ -335,7 +335,7 @@
 		It("never cuts a call that may not be repeated", func() {
 			id := newID()
 			d.arrive(call(id))
-			d.step(requests.StopAdmitting{Code: verdict.CodeDraining, Why: "drained"})
+			d.step(requests.StopAdmitting{Code: verdict.CodeDraining, Reason: "drained"})
 			d.step(requests.HandOver{})
 			Expect(d.stopped(id)).To(BeFalse())
 		})
@@ -346,7 +346,7 @@
 		// Dropping the oldest records would let late frames of theirs start.
 		It("refuses work rather than forget too early", func() {
 			d = newDriver(requests.Config{
-				Slots: 1, QueueLength: 4, ResultBytes: 1 << 10, ResumeWait: time.Second, Records: 2,
+				Slots: 1, QueueLength: 4, MaxAnswerBytes: 1 << 10, ResumeWait: time.Second, Records: 2,
 			})
 			d.step(requests.Admit{})
 			for range 2 {
@@ -359,7 +359,7 @@
 			Expect(d.refusal(d.arrive(start)).GetCode()).To(BeEquivalentTo(verdict.CodeOverloaded))
 			d.pass(29 * time.Second)
 			d.step(requests.Tick{})
-			copied := requests.Arrived{Stream: d.stream(), Start: start, Age: 29 * time.Second}
+			copied := requests.StartReceived{Stream: d.stream(), Start: start, Age: 29 * time.Second}
 			d.step(copied)
 			Expect(d.started(unseen)).To(BeZero())
 			fresh := newID()
@@ -441,12 +441,12 @@
 	starts    map[uuid.UUID]int
 	cancels   map[requests.RunID]bool
 	claims    []requests.ClaimID
-	settles   []requests.Settle
+	settles   []requests.SettleClaim
 	suspected bool
 }
 
 func newDriver(cfg requests.Config) *driver {
-	cfg.Engine = true
+	cfg.ModelEngine = true
 	return &driver{
 		table:   requests.New(cfg, rand.New(rand.NewPCG(1, 2))),
 		now:     time.Unix(1_000_000, 0),
@@ -485,9 +485,9 @@
 			d.cancels[e.Run] = true
 		case requests.Claim:
 			d.claims = append(d.claims, e.Claim)
-		case requests.Settle:
+		case requests.SettleClaim:
 			d.settles = append(d.settles, e)
-		case requests.Suspect:
+		case requests.CheckEngine:
 			d.suspected = true
 		}
 	}
@@ -495,7 +495,7 @@
 
 func (d *driver) arrive(s *wire.Start) requests.Stream {
 	stream := d.stream()
-	d.step(requests.Arrived{Stream: stream, Start: s})
+	d.step(requests.StartReceived{Stream: stream, Start: s})
 	return stream
 }
 
@@ -505,26 +505,26 @@
 
 func (d *driver) resolveAged(id uuid.UUID, age time.Duration) *wire.Resolution {
 	stream := d.stream()
-	d.step(requests.ResolveAsked{Stream: stream, Resolve: &wire.Resolve{RequestId: id[:]}, StartAge: age})
+	d.step(requests.ResolveReceived{Stream: stream, Resolve: &wire.Resolve{RequestId: id[:]}, StartAge: age})
 	return d.last(stream).GetResolution()
 }
 
 func (d *driver) piece(id uuid.UUID, text string) {
-	d.step(requests.Piece{Run: d.runs[id], Data: []byte(text), Tokens: 1})
+	d.step(requests.ChunkReceived{Run: d.runs[id], Data: []byte(text), Tokens: 1})
 }
 
 func (d *driver) pieceOf(id uuid.UUID, data []byte) {
-	d.step(requests.Piece{Run: d.runs[id], Data: data})
+	d.step(requests.ChunkReceived{Run: d.runs[id], Data: data})
 }
 
 // finish ends a run well; a call that has no answer yet gets one.
 func (d *driver) finish(id uuid.UUID) {
 	d.pieceOf(id, []byte(nil))
-	d.step(requests.Ended{Run: d.runs[id], Final: &wire.Final{Status: 201}})
+	d.step(requests.RunFinished{Run: d.runs[id], Final: &wire.Final{Status: 201}})
 }
 
 func (d *driver) end(id uuid.UUID, err *verdict.Error) {
-	d.step(requests.Ended{Run: d.runs[id], Err: err})
+	d.step(requests.RunFinished{Run: d.runs[id], Err: err})
 }
 
 func (d *driver) claim() requests.ClaimID {
@@ -535,10 +535,10 @@
 
 func (d *driver) grantClaim() {
 	GinkgoHelper()
-	d.step(requests.ClaimAnswered{Claim: d.claim(), Granted: true})
+	d.step(requests.ClaimDecided{Claim: d.claim(), Granted: true})
 }
 
-func (d *driver) settled() requests.Settle {
+func (d *driver) settled() requests.SettleClaim {
 	GinkgoHelper()
 	Expect(d.settles).To(HaveLen(1))
 	return d.settles[0]
--- a/internal/sidecar/requests/resolve.go
+++ b/internal/sidecar/requests/resolve.go
@@ -14,7 +14,7 @@
 // The entry does not know whether its Start arrived. If "never seen" were said
 // of a Start still under way, it would arrive after its caller was told "not
 // run", and run. So the answer is recorded before it is given.
-func (t *Table) resolve(now time.Time, e ResolveAsked) {
+func (t *Table) resolve(now time.Time, e ResolveReceived) {
 	id, err := uuid.FromBytes(e.Resolve.GetRequestId())
 	if err != nil {
 		t.sendResolution(e, wire.Outcome_OUTCOME_UNKNOWN, nil)
@@ -48,7 +48,7 @@
 // resolvedLive answers for a request that runs. One that waits is taken out, so
 // that its entry, which no longer hears this sidecar, can send it elsewhere
 // while there is time; its record answers then.
-func (t *Table) resolvedLive(now time.Time, r *request, e ResolveAsked) bool {
+func (t *Table) resolvedLive(now time.Time, r *request, e ResolveReceived) bool {
 	if r.phase == running {
 		r.orphanedAt = now
 		t.sendResolution(e, wire.Outcome_OUTCOME_RUNNING, nil)
--- a/internal/sidecar/requests/run.go
+++ b/internal/sidecar/requests/run.go
@@ -23,7 +23,7 @@
 	}
 	for {
 		slots, pieces := t.room()
-		item, ok := t.queue.Pop(now, queue.Capacity{Slots: slots, Pieces: pieces})
+		item, ok := t.queue.Pop(now, queue.Capacity{Slots: slots, KVBlocks: pieces})
 		if !ok {
 			return
 		}
@@ -61,7 +61,7 @@
 }
 
 // piece passes a part of the answer on and keeps it.
-func (t *Table) piece(now time.Time, e Piece) {
+func (t *Table) piece(now time.Time, e ChunkReceived) {
 	r, ok := t.runs[e.Run]
 	if !ok || r.stopping {
 		return
@@ -83,14 +83,14 @@
 	for _, other := range t.runs {
 		running += other.answer.bytes
 	}
-	t.ledger.shrink(max(0, t.cfg.ResultBytes-running))
-	if running > t.cfg.ResultBytes {
+	t.ledger.shrink(max(0, t.cfg.MaxAnswerBytes-running))
+	if running > t.cfg.MaxAnswerBytes {
 		r.answer.drop()
 	}
 }
 
 // ended takes the outcome of a run.
-func (t *Table) ended(now time.Time, e Ended) {
+func (t *Table) ended(now time.Time, e RunFinished) {
 	r, ok := t.runs[e.Run]
 	if !ok {
 		return
@@ -126,9 +126,9 @@
 	if told.Verdict == verdict.NotRun && r.answer.begun {
 		told.Verdict = verdict.MayHaveRun
 	}
-	if t.cfg.Engine && told.Code == verdict.CodeBroken && !r.stopping {
+	if t.cfg.ModelEngine && told.Code == verdict.CodeAnswerBroken && !r.stopping {
 		t.suspect = true
-		t.emit(Suspect{})
+		t.emit(CheckEngine{})
 	}
 	t.settle(r, told.Verdict, nil)
 	t.note(r, "ended", told.Error())
--- a/internal/sidecar/requests/send.go
+++ b/internal/sidecar/requests/send.go
@@ -75,7 +75,7 @@
 }
 
 // refuseFrame refuses a Start that has no request.
-func (t *Table) refuseFrame(a Arrived, e *verdict.Error) {
+func (t *Table) refuseFrame(a StartReceived, e *verdict.Error) {
 	t.refuseStream(a.Stream, a.Start.GetRequestId(), a.Start.GetAttempt(), e)
 }
 
@@ -95,7 +95,7 @@
 
 // sendResolution answers a Resolve; rec has the kept answer of a request that
 // ran. The owner fills in its incarnation.
-func (t *Table) sendResolution(e ResolveAsked, outcome wire.Outcome, rec *record) {
+func (t *Table) sendResolution(e ResolveReceived, outcome wire.Outcome, rec *record) {
 	resolution := &wire.Resolution{RequestId: e.Resolve.GetRequestId(), Outcome: outcome}
 	if rec != nil && rec.final != nil {
 		s := &subscriber{attempt: keptAttempt(e.Resolve, rec), digest: wire.NewDigest()}
--- a/internal/sidecar/runner.go
+++ b/internal/sidecar/runner.go
@@ -24,12 +24,12 @@
 // do carries out one run and posts its pieces and its end. The end comes also
 // after a panic: the run would hold its slot for good otherwise.
 func (r *runner) do(ctx context.Context, e requests.Run) {
-	ended := requests.Ended{Run: e.Run}
+	ended := requests.RunFinished{Run: e.Run}
 	defer func() {
 		if fault := recover(); fault != nil {
 			runPanics.Inc(1)
 			log.WithField("fault", fmt.Sprint(fault)).Error("run panicked")
-			ended = requests.Ended{
+			ended = requests.RunFinished{
 				Run: e.Run,
 				Err: verdict.New(verdict.MayHaveRun, verdict.CodeInternal, "the run failed inside the sidecar"),
 			}
@@ -43,10 +43,10 @@
 // the table decided.
 func (r *runner) run(ctx context.Context, e requests.Run) (*wire.Final, *verdict.Error) {
 	if !time.Now().Before(e.Deadline) {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeDeadline, "the deadline passed before the start")
+		return nil, verdict.New(verdict.NotRun, verdict.CodeDeadlineExceeded, "the deadline passed before the start")
 	}
 	final, err := r.backend.run(ctx, e.Start, e.Deadline, func(data []byte, tokens uint32) error {
-		r.post(requests.Piece{Run: e.Run, Data: data, Tokens: tokens})
+		r.post(requests.ChunkReceived{Run: e.Run, Data: data, Tokens: tokens})
 		return nil
 	})
 	if err != nil {
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -107,7 +107,7 @@
 		start.BudgetUs = time.Millisecond.Microseconds()
 		start.ClockUs = l.hello.GetClockUs()
 		time.Sleep(2 * time.Millisecond)
-		Expect(receiveRefusal(l.send(start)).GetCode()).To(BeEquivalentTo(verdict.CodeDeadline))
+		Expect(receiveRefusal(l.send(start)).GetCode()).To(BeEquivalentTo(verdict.CodeDeadlineExceeded))
 		Expect(s.runs("seo-yeon")()).To(BeZero())
 	})
 
@@ -145,7 +145,7 @@
 			s.backend.CloseClientConnections()
 			refusal := receiveRefusal(conn)
 			Expect(refusal.GetVerdict()).To(Equal(wire.Verdict_VERDICT_MAY_HAVE_RUN))
-			Expect(refusal.GetCode()).To(BeEquivalentTo(verdict.CodeBroken))
+			Expect(refusal.GetCode()).To(BeEquivalentTo(verdict.CodeAnswerBroken))
 			receiveAnswer(s.admitted().send(draft("portfolio", 5)))
 		})
 
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -52,26 +52,26 @@
 
 // The codes of the callers' API.
 const (
-	CodeBadRequest    Code = "bad_request"
-	CodeTooLarge      Code = "too_large"
-	CodeSlowBody      Code = "slow_body"
-	CodeUnknownModel  Code = "unknown_model"
-	CodeUnknownTarget Code = "unknown_service"
-	CodeOverloaded    Code = "overloaded"
-	CodeAccountLimit  Code = "account_limit"
-	CodeDeadline      Code = "deadline_exceeded"
-	CodeCancelled     Code = "cancelled"
-	CodeNoBackend     Code = "no_backend_server"
-	CodeDraining      Code = "draining"
-	CodeStore         Code = "store_unavailable"
-	CodeKeyInUse      Code = "key_in_progress"
-	CodeKeyReused     Code = "key_reused"
-	CodeUnknownResult Code = "outcome_unknown"
-	CodeBackend       Code = "backend_failed"
-	CodeBroken        Code = "answer_broken"
-	CodeQuarantined   Code = "quarantined"
-	CodeServerLimit   Code = "server_limit"
-	CodeInternal      Code = "internal"
+	CodeBadRequest       Code = "bad_request"
+	CodeTooLarge         Code = "too_large"
+	CodeSlowBody         Code = "slow_body"
+	CodeUnknownModel     Code = "unknown_model"
+	CodeUnknownService   Code = "unknown_service"
+	CodeOverloaded       Code = "overloaded"
+	CodeAccountLimit     Code = "account_limit"
+	CodeDeadlineExceeded Code = "deadline_exceeded"
+	CodeCancelled        Code = "cancelled"
+	CodeNoBackend        Code = "no_backend_server"
+	CodeDraining         Code = "draining"
+	CodeStoreUnavailable Code = "store_unavailable"
+	CodeKeyInProgress    Code = "key_in_progress"
+	CodeKeyReused        Code = "key_reused"
+	CodeOutcomeUnknown   Code = "outcome_unknown"
+	CodeBackendFailed    Code = "backend_failed"
+	CodeAnswerBroken     Code = "answer_broken"
+	CodeQuarantined      Code = "quarantined"
+	CodeServerLimit      Code = "server_limit"
+	CodeInternal         Code = "internal"
 )
 
 // Error is an error of the request path.
@@ -95,7 +95,7 @@
 }
 
 // Refused returns a NotRun Error that says when to come back.
-func Refused(code Code, message string, retryAfter time.Duration) *Error {
+func NewRejection(code Code, message string, retryAfter time.Duration) *Error {
 	return &Error{Verdict: NotRun, Code: code, Message: message, RetryAfter: retryAfter}
 }
 
--- a/internal/verdict/verdict_test.go
+++ b/internal/verdict/verdict_test.go
@@ -27,7 +27,7 @@
 
 var _ = Describe("Of", func() {
 	It("finds a wrapped error", func() {
-		refused := verdict.Refused(verdict.CodeOverloaded, "full", 1)
+		refused := verdict.NewRejection(verdict.CodeOverloaded, "full", 1)
 		Expect(verdict.Of(eris.Wrap(refused, "send"))).To(BeIdenticalTo(refused))
 	})
 
--- a/test/cmd/capacity/state.go
+++ b/test/cmd/capacity/state.go
@@ -72,14 +72,14 @@
 	before := heap()
 	x := route.NewPrefixIndex(targetPieces)
 	for i := range targetPieces {
-		x.Stored(now, fmt.Sprintf("engine-%d", i%targetEngines), []uint64{uint64(i)})
+		x.AddStored(now, fmt.Sprintf("engine-%d", i%targetEngines), []uint64{uint64(i)})
 	}
 	row("memory per cached piece", (heap()-before)/targetPieces, "bytes")
 	prompt := make([]uint64, 32)
 	for i := range prompt {
 		prompt[i] = uint64(i)
 	}
-	row("look-up of a prompt of 32 pieces", timed(10_000, func(int) { x.Cached(now, prompt) }), "us")
+	row("look-up of a prompt of 32 pieces", timed(10_000, func(int) { x.CachedBlocks(now, prompt) }), "us")
 	runtime.KeepAlive(x)
 }
 
@@ -101,7 +101,7 @@
 
 func planRows() {
 	now := time.Unix(1000, 0)
-	picture := planner.Picture{Reports: map[string]planner.LoadReport{}}
+	picture := planner.View{Reports: map[string]planner.LoadReport{}}
 	for i := range targetEngines / 2 {
 		name := fmt.Sprintf("engine-%d", i)
 		picture.VMs = append(picture.VMs, sharedstate.VM{Name: name, Kind: sharedstate.VMBackend, Region: "seoul", Service: sharedstate.ServiceModels})
@@ -144,7 +144,7 @@
 	result := claims.NewResult(201, nil, make([]byte, 120))
 	for i := range claimsPerSlot {
 		key := fmt.Sprintf("seal-%08d", i)
-		r.Claims[key] = claims.Claim{BodyDigest: uint64(i), Epoch: 1, RequestID: sharedstate.NewWriteID(), Done: 1, Result: &result}
+		r.Claims[key] = claims.Claim{BodyDigest: uint64(i), Epoch: 1, RequestID: sharedstate.NewWriteID(), RecordedAt: 1, Result: &result}
 	}
 	data, err := r.Encode()
 	if err != nil {
--- a/test/loadplay/attempt.go
+++ b/test/loadplay/attempt.go
@@ -12,7 +12,7 @@
 // prefilled moves a job on to its decode engine.
 func (e *entry) prefilled(j *job) {
 	now := e.play.now
-	e.prefills.Done(now, j.prefill.name, j.id)
+	e.prefills.RemoveRequest(now, j.prefill.name, j.id)
 	e.outliers[route.Prefill].Observe(now, j.prefill.name, outlier.Observation{
 		Took:     now.Sub(j.sent),
 		Expected: max(j.expected, minExpected),
@@ -36,7 +36,7 @@
 		return
 	}
 	j.decode = p.byName[d.Name]
-	e.decodes.Sent(p.now, d.Name, j.id, 1)
+	e.decodes.AddRequest(p.now, d.Name, j.id, 1)
 	p.after(time.Millisecond+time.Duration(j.pieces())*transferPiece, func() { p.pushDecode(j) })
 }
 
@@ -44,7 +44,7 @@
 const retryDecode = 50 * time.Millisecond
 
 func (e *entry) firstToken(j *job) {
-	e.decodes.Done(e.play.now, j.decode.name, j.id)
+	e.decodes.RemoveRequest(e.play.now, j.decode.name, j.id)
 	j.begun = e.play.now
 	if j.call.first.IsZero() {
 		j.call.first = e.play.now
@@ -57,7 +57,7 @@
 	now := e.play.now
 	if j.req.Service == Lookups {
 		j.call.first = now
-		e.prefills.Done(now, j.prefill.name, j.id)
+		e.prefills.RemoveRequest(now, j.prefill.name, j.id)
 		e.outliers[""].Observe(now, j.prefill.name, outlier.Observation{Took: now.Sub(j.sent), Expected: plainTime})
 	}
 	e.budget.Succeeded(now, j.call.cost)
@@ -79,8 +79,8 @@
 	for _, s := range e.play.servers {
 		if gap, ok := gaps[s.name]; ok {
 			e.outliers[route.Decode].Observe(e.play.now, s.name, outlier.Observation{
-				Took:     max(gap, shift.DefaultTokenGap),
-				Expected: shift.DefaultTokenGap,
+				Took:     max(gap, shift.DefaultMaxInterTokenLatency),
+				Expected: shift.DefaultMaxInterTokenLatency,
 			})
 		}
 	}
@@ -161,9 +161,9 @@
 	j.done = true
 	e.play.drop(j)
 	delete(e.play.jobs, j.id)
-	e.prefills.Done(e.play.now, j.prefill.name, j.id)
+	e.prefills.RemoveRequest(e.play.now, j.prefill.name, j.id)
 	if j.decode != nil {
-		e.decodes.Done(e.play.now, j.decode.name, j.id)
+		e.decodes.RemoveRequest(e.play.now, j.decode.name, j.id)
 	}
 	j.call.work += j.work
 }
--- a/test/loadplay/entry.go
+++ b/test/loadplay/entry.go
@@ -22,12 +22,12 @@
 	dataCentre string
 	rng        *rand.Rand
 	admits     map[string]*admit.Admitter // by service
-	prefills   *route.Picture
-	decodes    *route.Picture
+	prefills   *route.LoadTracker
+	decodes    *route.LoadTracker
 	index      *route.PrefixIndex
 	profile    route.Profile
 	budget     *retry.Budget
-	meter      *shift.Meter
+	meter      *shift.DemandMeter
 	outliers   map[route.Role]*outlier.Detector
 	known      map[string]view
 }
@@ -64,12 +64,12 @@
 			Drafts:  admit.New(admit.Config{Rand: rng}),
 			Lookups: admit.New(admit.Config{Rand: rng}),
 		},
-		prefills: route.NewPicture(),
-		decodes:  route.NewPicture(),
+		prefills: route.NewLoadTracker(),
+		decodes:  route.NewLoadTracker(),
 		index:    route.NewPrefixIndex(0),
 		profile:  route.DefaultProfile(),
 		budget:   retry.New(retry.Config{}),
-		meter:    shift.NewMeter(0),
+		meter:    shift.NewDemandMeter(0),
 		outliers: make(map[route.Role]*outlier.Detector),
 		known:    make(map[string]view),
 	}
@@ -92,11 +92,11 @@
 
 func (e *entry) cacheEvent(s *server, stored, evicted []uint64, lost bool) {
 	if lost {
-		e.index.Gap(e.play.now, s.name)
+		e.index.EventsLost(e.play.now, s.name)
 		return
 	}
-	e.index.Stored(e.play.now, s.name, stored)
-	e.index.Evicted(s.name, evicted)
+	e.index.AddStored(e.play.now, s.name, stored)
+	e.index.RemoveEvicted(s.name, evicted)
 }
 
 func (e *entry) learn(s *server, role shift.Role, admitting bool) {
@@ -179,7 +179,7 @@
 // expect works out wait, run time and the drain rate for a call.
 func (e *entry) expect(c *call, d pickedServer) (expectation, float64) {
 	if c.req.Service == Lookups {
-		return expectation{wait: d.Wait, run: plainTime}, float64(e.play.deployment.Plains) * plainSlots / plainTime.Seconds()
+		return expectation{wait: d.QueueDelay, run: plainTime}, float64(e.play.deployment.Plains) * plainSlots / plainTime.Seconds()
 	}
 	now := e.play.now
 	decode, _ := e.pick(c, route.Decode)
@@ -188,7 +188,7 @@
 	demand := e.meter.Demand(now)
 	prefills, decodes := e.counts()
 	drain := admit.DrainRate(prefills*prefillRate, decodes*decodeRate, demand.PrefillTokens, demand.DecodeTokens, outputCost)
-	return expectation{wait: d.Wait + decode.Wait, run: run}, drain
+	return expectation{wait: d.QueueDelay + decode.QueueDelay, run: run}, drain
 }
 
 func (e *entry) counts() (prefills, decodes float64) {
@@ -217,14 +217,14 @@
 		Service:      c.req.Service,
 		PromptTokens: c.req.Prompt,
 		OutputTokens: c.req.MaxOutput,
-		Pieces:       c.req.Pieces,
+		PrefixBlocks: c.req.Pieces,
 		DataCentre:   e.dataCentre,
 		Role:         role,
 		Excluded:     c.excluded,
 	}
 	cached := map[string]int{}
 	if role == route.Prefill {
-		cached = e.index.Cached(now, c.req.Pieces)
+		cached = e.index.CachedBlocks(now, c.req.Pieces)
 	}
 	d, ok := e.profile.Pick(e.rng, r, e.candidates(role, cached))
 	return pickedServer{Decision: d, CachedPieces: cached[d.Name]}, ok
@@ -247,14 +247,14 @@
 			Role:         route.Role(v.role),
 			Admitting:    v.admitting,
 			Load:         load,
-			CachedPieces: cached[s.name],
+			CachedBlocks: cached[s.name],
 			Weight:       e.outliers[role].Weight(now, s.name),
 		}
 		if s.plain {
 			c.Service = Lookups
 		}
-		if v.role == shift.Decode && e.play.spill.Share > 0 {
-			c.SpillPrompt = e.play.spill.MaxPromptTokens
+		if v.role == shift.Decode && e.play.spill.MaxTimeShare > 0 {
+			c.MaxSpilloverPrompt = e.play.spill.MaxPromptTokens
 		}
 		candidates = append(candidates, c)
 	}
@@ -272,7 +272,7 @@
 		entry:    e,
 		call:     c,
 		prefill:  p.byName[d.Name],
-		expected: d.Expected,
+		expected: d.ExpectedTTFT,
 		sent:     p.now,
 	}
 	c.job = j
@@ -281,7 +281,7 @@
 	if j.prefill.plain {
 		tokens = 1
 	}
-	e.prefills.Sent(p.now, d.Name, j.id, tokens)
-	e.index.Sent(p.now, d.Name, c.req.Pieces)
+	e.prefills.AddRequest(p.now, d.Name, j.id, tokens)
+	e.index.AddExpected(p.now, d.Name, c.req.Pieces)
 	p.after(time.Millisecond, func() { p.pushPrefill(j) })
 }
--- a/test/loadplay/oracle.go
+++ b/test/loadplay/oracle.go
@@ -104,7 +104,7 @@
 func done(prefills, decodes int, prefill, decode float64) float64 {
 	have, busy := float64(prefills), min(decode, float64(decodes))
 	if spare := float64(decodes) - busy; prefill > have {
-		have += min(spare, prefill-have, shift.DefaultSpillShare*float64(decodes))
+		have += min(spare, prefill-have, shift.DefaultMaxSpilloverShare*float64(decodes))
 	}
 	share := 1.0
 	if prefill > 0 {
--- a/test/loadplay/planner.go
+++ b/test/loadplay/planner.go
@@ -91,7 +91,7 @@
 	slices.SortStableFunc(ready, func(a, b shift.Engine) int { return a.QueuedTokens - b.QueuedTokens })
 	var changes []shift.Change
 	for _, e := range ready[:min(n, len(ready))] {
-		changes = append(changes, shift.Change{Name: e.Name, From: from, To: to, Why: "threshold"})
+		changes = append(changes, shift.Change{Name: e.Name, From: from, To: to, Reason: "threshold"})
 	}
 	return changes
 }
--- a/test/loadplay/play.go
+++ b/test/loadplay/play.go
@@ -33,7 +33,7 @@
 	jobs       map[string]*job
 	serial     int
 	demand     shift.Demand // as last reported to the planner
-	spill      shift.Spill
+	spill      shift.Spillover
 	result     *result
 }
 
@@ -118,7 +118,7 @@
 	if p.policy.FirstIn {
 		return &fifo{}
 	}
-	q := queue.New(queue.Config{Pieces: runPieces})
+	q := queue.New(queue.Config{KVBlocks: runPieces})
 	q.SetDrainRate(prefillRate)
 	return q
 }
@@ -222,7 +222,7 @@
 	}
 	d := p.planner.Step(p.now, p.fleet(seen))
 	p.after(planLag, func() {
-		p.setSpill(d.Spill)
+		p.setSpill(d.Spillover)
 		for _, c := range d.Changes {
 			p.order(c)
 		}
@@ -251,7 +251,7 @@
 			Role:         s.next,
 			Movable:      true,
 			Changing:     s.changing,
-			Since:        s.since,
+			RoleSince:    s.since,
 			QueuedTokens: s.load().QueuedTokens + 100*len(s.streams),
 			Speed:        s.speed,
 		})
@@ -259,7 +259,7 @@
 	return f
 }
 
-func (p *play) setSpill(spill shift.Spill) {
+func (p *play) setSpill(spill shift.Spillover) {
 	p.spill = spill
 	for _, s := range p.servers {
 		if s.role == shift.Decode {
--- a/test/loadplay/policy.go
+++ b/test/loadplay/policy.go
@@ -83,9 +83,9 @@
 	ties := 1
 	for _, s := range scored[1:] {
 		switch {
-		case s.Expected < best.Expected:
+		case s.ExpectedTTFT < best.ExpectedTTFT:
 			best, ties = s, 1
-		case s.Expected == best.Expected:
+		case s.ExpectedTTFT == best.ExpectedTTFT:
 			ties++
 			if rng.IntN(ties) == 0 {
 				best = s
@@ -112,7 +112,7 @@
 		return queue.Item{}, false
 	}
 	head := f.items[0]
-	if (head.PromptTokens+head.OutputTokens+pieceTokens-1)/pieceTokens > room.Pieces {
+	if (head.PromptTokens+head.OutputTokens+pieceTokens-1)/pieceTokens > room.KVBlocks {
 		return queue.Item{}, false
 	}
 	f.Remove(head.ID)
--- a/test/loadplay/server.go
+++ b/test/loadplay/server.go
@@ -23,7 +23,7 @@
 	readyAt   time.Time
 	speed     float64
 	failing   float64
-	spill     shift.Spill
+	spill     shift.Spillover
 
 	prefillQueue, decodeQueue line
 	prefills, streams         []*job
@@ -88,7 +88,7 @@
 	case s.role == shift.Mixed:
 		return 0.5
 	default:
-		return s.spill.ShareFor(s.bareStep())
+		return s.spill.TimeShareFor(s.bareStep())
 	}
 }
 
@@ -112,14 +112,14 @@
 	}
 	rate := prefillRate
 	if s.role == shift.Decode {
-		rate *= max(0.05, s.spill.ShareFor(s.bareStep()))
+		rate *= max(0.05, s.spill.TimeShareFor(s.bareStep()))
 	}
 	l := route.Load{
 		QueuedTokens: queued,
 		Running:      len(s.streams),
 		Queued:       s.decodeQueue.Len(),
 		Slots:        slots,
-		FreePieces:   runPieces - s.usedPieces(),
+		FreeKVBlocks: runPieces - s.usedPieces(),
 		PrefillRate:  rate,
 		DecodeRate:   decodeRate,
 	}
--- a/test/loadplay/sidecar.go
+++ b/test/loadplay/sidecar.go
@@ -92,8 +92,8 @@
 	if s.plain {
 		limit = plainSlots
 	}
-	for !s.changing && (s.role != shift.Decode || s.spill.Share > 0) {
-		room := queue.Capacity{Slots: limit - len(s.prefills), Pieces: runPieces - s.usedPieces()}
+	for !s.changing && (s.role != shift.Decode || s.spill.MaxTimeShare > 0) {
+		room := queue.Capacity{Slots: limit - len(s.prefills), KVBlocks: runPieces - s.usedPieces()}
 		i, ok := s.prefillQueue.Pop(p.now, room)
 		if !ok {
 			break
@@ -103,7 +103,7 @@
 		s.prefills = append(s.prefills, j)
 	}
 	for !s.changing && s.role != shift.Prefill {
-		room := queue.Capacity{Slots: slots - len(s.streams), Pieces: runPieces - s.usedPieces()}
+		room := queue.Capacity{Slots: slots - len(s.streams), KVBlocks: runPieces - s.usedPieces()}
 		i, ok := s.decodeQueue.Pop(p.now, room)
 		if !ok {
 			break
@@ -199,7 +199,7 @@
 // handBack returns what has not begun to the entries, which send it elsewhere.
 func (p *play) handBack(q line) {
 	for {
-		i, ok := q.Pop(p.now, queue.Capacity{Slots: 1, Pieces: runPieces})
+		i, ok := q.Pop(p.now, queue.Capacity{Slots: 1, KVBlocks: runPieces})
 		if !ok {
 			return
 		}
@@ -230,7 +230,7 @@
 
 func (p *play) changed(s *server) {
 	s.role, s.changing, s.since = s.next, false, p.now
-	s.spill = shift.Spill{}
+	s.spill = shift.Spillover{}
 	if s.role == shift.Decode {
 		s.spill = p.spill
 	}
--- a/test/soak/entry.go
+++ b/test/soak/entry.go
@@ -86,7 +86,7 @@
 	delete(e.all, c)
 	for _, s := range sortedStreams(c.streams) {
 		attempt, run := s.attempt, s.call
-		e.w.on(&e.node, slowestTrip, func() { run.event(call.LinkLost{Attempt: attempt}) })
+		e.w.on(&e.node, slowestTrip, func() { run.event(call.StreamLost{Attempt: attempt}) })
 	}
 }
 
@@ -173,7 +173,7 @@
 }
 
 func (r *callRun) setTimer() {
-	next := r.machine.Next()
+	next := r.machine.NextTimer()
 	if r.machine.Ended() || next.Equal(r.timer) {
 		return
 	}
@@ -226,7 +226,7 @@
 func (r *callRun) route(e call.Route) call.Event {
 	w := r.entry.w
 	if e.Retry != nil && w.chance(0.1) {
-		return call.Unroutable{Attempt: e.Attempt, Err: verdict.Refused(verdict.CodeOverloaded, "retry budget", time.Second)}
+		return call.Unroutable{Attempt: e.Attempt, Err: verdict.NewRejection(verdict.CodeOverloaded, "retry budget", time.Second)}
 	}
 	fit := []*sidecar{}
 	for _, s := range r.entry.sidecars {
@@ -235,7 +235,7 @@
 		}
 	}
 	if len(fit) == 0 {
-		return call.Unroutable{Attempt: e.Attempt, Err: verdict.Refused(verdict.CodeNoBackend, "none", time.Second)}
+		return call.Unroutable{Attempt: e.Attempt, Err: verdict.NewRejection(verdict.CodeNoBackend, "none", time.Second)}
 	}
 	return call.Routed{Attempt: e.Attempt, Server: fit[w.rng.IntN(len(fit))].name}
 }
@@ -279,7 +279,7 @@
 		r.event(call.Sent{Attempt: e.Attempt, Incarnation: c.sidecarID})
 		c.toS(func() { c.sidecar.arrive(s, sentAt, start) })
 		if c.closed {
-			r.event(call.LinkLost{Attempt: e.Attempt})
+			r.event(call.StreamLost{Attempt: e.Attempt})
 		}
 	})
 	return nil
--- a/test/soak/plans.go
+++ b/test/soak/plans.go
@@ -84,8 +84,8 @@
 }
 
 // picture is what the entry sees, with the fleet config that it holds.
-func (p *planning) picture() planner.Picture {
-	picture := planner.Picture{
+func (p *planning) picture() planner.View {
+	picture := planner.View{
 		Reports: map[string]planner.LoadReport{},
 		Slots:   map[string]int{serviceHolds: keySlots},
 	}
--- a/test/soak/run.go
+++ b/test/soak/run.go
@@ -226,7 +226,7 @@
 // checkRepaired asserts that the fleet is back by itself and leaks nothing.
 func (r *run) checkRepaired() {
 	for _, s := range r.sidecars {
-		r.promise(s.table.Live() == 0, "self-repair", "%s still has %d requests: %+v", s.name, s.table.Live(), s.table.Dump(r.now))
+		r.promise(s.table.Active() == 0, "self-repair", "%s still has %d requests: %+v", s.name, s.table.Active(), s.table.Dump(r.now))
 		r.promise(s.table.Admitting(), "self-repair", "%s does not admit: %+v", s.name, s.table.Dump(r.now))
 		r.promise(len(s.streams) == 0, "self-repair", "%s leaks %d streams", s.name, len(s.streams))
 		r.promise(len(s.claimed) == 0, "self-repair", "%s leaks %d claims", s.name, len(s.claimed))
--- a/test/soak/sidecar.go
+++ b/test/soak/sidecar.go
@@ -54,11 +54,11 @@
 	s.up = true
 	s.incarnation++
 	s.table = requests.New(requests.Config{
-		Slots:       s.w.slots,
-		QueueLength: 8,
-		ResultBytes: 64 << 10,
-		ResumeWait:  3 * time.Second,
-		Engine:      s.engine != nil,
+		Slots:          s.w.slots,
+		QueueLength:    8,
+		MaxAnswerBytes: 64 << 10,
+		ResumeWait:     3 * time.Second,
+		ModelEngine:    s.engine != nil,
 	}, rand.New(rand.NewPCG(s.w.rng.Uint64(), 0)))
 	s.objects = member.NewObjects()
 	s.streams = map[requests.Stream]*stream{}
@@ -134,9 +134,9 @@
 		}
 	case requests.Claim:
 		s.claim(e)
-	case requests.Settle:
+	case requests.SettleClaim:
 		s.settle(e)
-	case requests.Suspect:
+	case requests.CheckEngine:
 		s.order(orders.EngineMayHaveCrashed{})
 	}
 }
@@ -149,26 +149,26 @@
 	if age > link.SilentAfter {
 		s.w.Faults["late start"]++
 	}
-	s.step(requests.Arrived{Stream: s.next, Start: start, Age: age})
+	s.step(requests.StartReceived{Stream: s.next, Start: start, Age: age})
 }
 
 // resolve takes a Resolve.
 func (s *sidecar) resolve(st *stream, sentAt time.Time, r *wire.Resolve) {
 	s.next++
 	s.streams[s.next], s.byConn[st] = st, s.next
-	s.step(requests.ResolveAsked{Stream: s.next, Resolve: r, StartAge: s.w.now.Sub(sentAt)})
+	s.step(requests.ResolveReceived{Stream: s.next, Resolve: r, StartAge: s.w.now.Sub(sentAt)})
 }
 
 func (s *sidecar) cancelled(st *stream) {
 	if number, ok := s.byConn[st]; ok {
-		s.step(requests.Cancelled{Stream: number})
+		s.step(requests.CancelReceived{Stream: number})
 	}
 }
 
 func (s *sidecar) streamEnded(st *stream) {
 	if number, ok := s.byConn[st]; ok {
 		s.forget(st)
-		s.step(requests.StreamEnded{Stream: number})
+		s.step(requests.StreamClosed{Stream: number})
 	}
 }
 
@@ -181,7 +181,7 @@
 // once more, as the Run asks.
 func (s *sidecar) run(r requests.Run) {
 	if !s.w.now.Before(r.Deadline) {
-		s.step(requests.Ended{Run: r.Run, Err: verdict.New(verdict.NotRun, verdict.CodeDeadline, "too late to start")})
+		s.step(requests.RunFinished{Run: r.Run, Err: verdict.New(verdict.NotRun, verdict.CodeDeadlineExceeded, "too late to start")})
 		return
 	}
 	s.w.ran(r.Start, s.w.now, r.Deadline)
@@ -202,11 +202,11 @@
 	s.w.on(&s.node, took, func() {
 		if broken {
 			s.w.Faults["service broke off"]++
-			s.step(requests.Ended{Run: r.Run, Err: verdict.New(verdict.MayHaveRun, verdict.CodeBackend, "broke off")})
+			s.step(requests.RunFinished{Run: r.Run, Err: verdict.New(verdict.MayHaveRun, verdict.CodeBackendFailed, "broke off")})
 			return
 		}
-		s.step(requests.Piece{Run: r.Run, Data: []byte(body)})
-		s.step(requests.Ended{Run: r.Run, Final: &wire.Final{Status: 201}})
+		s.step(requests.ChunkReceived{Run: r.Run, Data: []byte(body)})
+		s.step(requests.RunFinished{Run: r.Run, Final: &wire.Final{Status: 201}})
 	})
 }
 
@@ -217,7 +217,7 @@
 	cancel := s.engine.generate(answerTo(r.Start), int(g.GetResumeFrom()),
 		func(_ int, text string) {
 			if alive() {
-				s.w.on(&s.node, 0, func() { s.step(requests.Piece{Run: r.Run, Data: []byte(text), Tokens: 1}) })
+				s.w.on(&s.node, 0, func() { s.step(requests.ChunkReceived{Run: r.Run, Data: []byte(text), Tokens: 1}) })
 			}
 		},
 		func(err error) {
@@ -232,11 +232,11 @@
 	delete(s.cancels, run)
 	switch err {
 	case nil:
-		s.step(requests.Ended{Run: run, Final: &wire.Final{FinishReason: "length", OutputTokens: answerTokens}})
+		s.step(requests.RunFinished{Run: run, Final: &wire.Final{FinishReason: "length", OutputTokens: answerTokens}})
 	case engine.ErrRejected:
-		s.step(requests.Ended{Run: run, Err: verdict.New(verdict.NotRun, verdict.CodeNoBackend, "engine refused")})
+		s.step(requests.RunFinished{Run: run, Err: verdict.New(verdict.NotRun, verdict.CodeNoBackend, "engine refused")})
 	default:
-		s.step(requests.Ended{Run: run, Err: verdict.New(verdict.MayHaveRun, verdict.CodeBroken, "engine broke off")})
+		s.step(requests.RunFinished{Run: run, Err: verdict.New(verdict.MayHaveRun, verdict.CodeAnswerBroken, "engine broke off")})
 	}
 }
 
@@ -259,7 +259,7 @@
 		case orders.Admit:
 			s.step(requests.Admit{})
 		case orders.StopAdmitting:
-			s.step(requests.StopAdmitting{Code: verdict.CodeDraining, Why: effect.Reason})
+			s.step(requests.StopAdmitting{Code: verdict.CodeDraining, Reason: effect.Reason})
 		case orders.HandOver:
 			s.step(requests.HandOver{})
 		case orders.ReadState:
@@ -275,7 +275,7 @@
 	s.w.on(&s.node, s.w.between(0, slowestTrip), func() {
 		state := s.engine.state
 		s.w.on(&s.node, s.w.between(0, slowestTrip), func() {
-			s.order(orders.StateRead{Asked: asked, State: state})
+			s.order(orders.StateRead{RequestedAt: asked, State: state})
 		})
 	})
 }
@@ -334,7 +334,7 @@
 	s.slot(claims.SlotOf(e.Key, keySlots), claims.ClaimRequested{Token: s.token, Request: request})
 }
 
-func (s *sidecar) settle(e requests.Settle) {
+func (s *sidecar) settle(e requests.SettleClaim) {
 	run := s.claimed[e.Claim]
 	delete(s.claimed, e.Claim)
 	slot := claims.SlotOf(run.request.Key, keySlots)
@@ -385,7 +385,7 @@
 		return
 	}
 	delete(s.tokens, r.Token)
-	answered := requests.ClaimAnswered{Claim: claim, Err: r.Answer.Err(), Granted: r.Answer.Kind == claims.Granted}
+	answered := requests.ClaimDecided{Claim: claim, Err: r.Answer.Err(), Granted: r.Answer.Kind == claims.Granted}
 	if r.Answer.Kind == claims.Replay {
 		answered.Chunks = []*wire.Chunk{{Data: r.Answer.Result.Body}}
 		answered.Final = &wire.Final{Status: uint32(r.Answer.Result.Status), Replayed: true}
--- a/test/standin/modelengine/modelengine.go
+++ b/test/standin/modelengine/modelengine.go
@@ -395,13 +395,13 @@
 func (s *Server) sample() engine.Load {
 	running, queued := s.slots.counts()
 	load := engine.Load{
-		Running:     running,
-		Queued:      queued,
-		Slots:       s.config.Slots,
-		PiecesUsed:  s.cache.order.Len(),
-		Pieces:      s.config.Pieces,
-		PrefillRate: s.config.PrefillRate,
-		DecodeRate:  s.fullDecodeRate(),
+		Running:      running,
+		Queued:       queued,
+		Slots:        s.config.Slots,
+		KVBlocksUsed: s.cache.order.Len(),
+		KVBlocks:     s.config.Pieces,
+		PrefillRate:  s.config.PrefillRate,
+		DecodeRate:   s.fullDecodeRate(),
 	}
 	for _, g := range s.running {
 		load.QueuedTokens += g.prompt
