--- a/internal/direct/conn.go
+++ b/internal/direct/conn.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// dialTimeout bounds the set-up of a connection. Between data centres it
-	// takes milliseconds; a VM without power does not answer at all.
+	// dialTimeout limits the time to set up a connection. Between data centres it
+	// takes milliseconds; a VM without power does not respond at all.
 	dialTimeout = 400 * time.Millisecond
-	// unackedTimeout ends a connection whose peer acknowledges nothing: it lost
-	// power, or something between the ends forgot the connection. Without it a
-	// request on such a connection waits until its deadline.
-	unackedTimeout = time.Second
-	// The keep-alive probes find an idle connection that went silent, so that
-	// no request is sent on it.
-	probeAfter    = time.Second
-	probeInterval = time.Second
-	probeCount    = 2
-	// readBuffer holds an answer's head and small answers.
+	// ackTimeout closes a connection whose peer does not acknowledge data, because
+	// it lost power or a device in between dropped the connection's state. Without
+	// it, a request on such a connection waits until its deadline.
+	ackTimeout = time.Second
+	// Keep-alive probes detect idle connections with an unresponsive peer, so that
+	// no request is sent on them.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
+	keepAliveCount    = 2
+	// readBuffer is large enough for a response's head and for small responses.
 	readBuffer = 4 << 10
 )
 
@@ -31,24 +31,25 @@
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// idleSince and keepFor say how long the server keeps it open.
-	idleSince time.Time
-	keepFor   time.Duration
-	used      bool
+	// idleSince is when the last response ended, and idleTimeout how long after that
+	// the server keeps the connection open, 0 if it did not state that.
+	idleSince   time.Time
+	idleTimeout time.Duration
+	reused      bool
 }
 
 var dialer = net.Dialer{
 	Timeout: dialTimeout,
 	KeepAliveConfig: net.KeepAliveConfig{
 		Enable:   true,
-		Idle:     probeAfter,
-		Interval: probeInterval,
-		Count:    probeCount,
+		Idle:     keepAliveIdle,
+		Interval: keepAliveInterval,
+		Count:    keepAliveCount,
 	},
 	Control: func(_, _ string, raw syscall.RawConn) error {
 		var err error
 		controlErr := raw.Control(func(fd uintptr) {
-			err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
+			err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackTimeout.Milliseconds()))
 		})
 		if controlErr != nil {
 			return controlErr
@@ -65,10 +66,10 @@
 	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBuffer)}, nil
 }
 
-// quiet reports whether an idle connection is open and has nothing to read.
-// Bytes that came while no request was out belong to no request, and an end of
-// the stream means that the next request would be lost.
-func (c *conn) quiet() bool {
+// healthy reports whether an idle connection is open and has no data to read. Data
+// received while no request was outstanding belongs to no request, and at the end of
+// the stream the next request would be lost.
+func (c *conn) healthy() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -76,12 +77,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, errno := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = errno == unix.EAGAIN
+		empty = errno == unix.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
--- a/internal/direct/direct.go
+++ b/internal/direct/direct.go
@@ -1,11 +1,10 @@
-// Package direct sends requests to backend servers over HTTP connections of its
-// own, without a process beside the server.
+// Package direct implements an HTTP/1.1 client for backend servers that are reached
+// without a sidecar.
 //
-// Every error carries a verdict. A request certainly did not run if no byte of
-// it can have reached the server or if the server says so; everything else may
-// have run. Nothing is sent twice here: the standard library's client sends a
-// request again when a kept connection turns out to be closed, which would run
-// a call twice that may run once.
+// Every error carries a verdict. A request has not run if no byte of it can have
+// reached the server or if the server says so; otherwise it may have run. The client
+// never retries. The client of net/http does so when a reused connection turns out
+// to be closed, which could run a request twice that may run only once.
 package direct
 
 import (
@@ -25,16 +24,18 @@
 )
 
 const (
-	// inlineBody is the largest request written before the answer is read. A
-	// server may answer and leave a longer body unread in full windows.
-	inlineBody = 8 << 10
-	// lateSlack is how long after its deadline a server may still answer.
-	lateSlack = 100 * time.Millisecond
-	// maxStale bounds the answers to earlier requests that are passed over.
-	maxStale = 2
+	// syncWriteLimit is the largest request that is written completely before the
+	// response is read. A server may respond without reading a longer body, and the
+	// write would block on full TCP windows.
+	syncWriteLimit = 8 << 10
+	// responseSlack is how long after the request's deadline a server may still respond.
+	responseSlack = 100 * time.Millisecond
+	// maxResponsesRead limits the responses read for one request, including stale
+	// ones to earlier requests.
+	maxResponsesRead = 2
 )
 
-// Codec writes requests and reads answers as backend servers do.
+// Codec encodes requests to backend servers and parses the heads of their responses.
 type Codec interface {
 	AppendRequest(dst []byte, r *request.Request, o request.Options) []byte
 	ParseResponse(status int, h http.Header) request.ResponseHead
@@ -44,26 +45,26 @@
 type Transport struct {
 	codec Codec
 	pool  *pool
-	// OnAnswer is called with the head of each answer to a request, before Send returns
-	// it. It is set before the first Send and does not block.
-	OnAnswer func(Answered)
+	// OnResponse is called with the head of each response before Send returns it. It
+	// must be set before the first Send and must not block.
+	OnResponse func(ResponseInfo)
 
 	opened, reused metrics.Counter
 }
 
-// New returns a Transport that speaks codec.
+// New returns a Transport that uses codec.
 func New(codec Codec) *Transport {
 	return &Transport{
-		codec:    codec,
-		pool:     newPool(),
-		OnAnswer: func(Answered) {},
-		opened:   metrics.GetOrRegisterCounter("direct.connections_opened", nil),
-		reused:   metrics.GetOrRegisterCounter("direct.connections_reused", nil),
+		codec:      codec,
+		pool:       newPool(),
+		OnResponse: func(ResponseInfo) {},
+		opened:     metrics.GetOrRegisterCounter("direct.connections_opened", nil),
+		reused:     metrics.GetOrRegisterCounter("direct.connections_reused", nil),
 	}
 }
 
-// Answered is the head of an answer with the send that it answers.
-type Answered struct {
+// ResponseInfo is the head of a response together with the request's data.
+type ResponseInfo struct {
 	request.ResponseHead
 	Server backend.Server
 	Stage  request.Stage
@@ -71,17 +72,17 @@
 	Sent time.Time
 }
 
-// Reply is a backend server's answer. Its Body must be closed.
+// Reply is a backend server's response. Its Body must be closed.
 type Reply struct {
 	request.ResponseHead
-	// Length is that of the body, -1 if unknown.
+	// Length is the length of the body, -1 if unknown.
 	Length int64
-	// Body ends with io.EOF only if the answer is complete.
+	// Body returns io.EOF only after a complete response.
 	Body io.ReadCloser
 }
 
-// Send sends one request and returns the head of its answer. The request is
-// given up when ctx ends or shortly after Options.Left.
+// Send sends a request and returns the head of its response. The request is canceled
+// when ctx is done, or times out shortly after Options.Remaining.
 func (t *Transport) Send(ctx context.Context, r *request.Request, o request.Options) (*Reply, error) {
 	key := poolKey(o.Server)
 	c, err := t.connect(ctx, key, o)
@@ -89,8 +90,8 @@
 		return nil, err
 	}
 	x := &exchange{transport: t, key: key, conn: c, request: r, options: &o, sent: time.Now()}
-	x.stop = context.AfterFunc(ctx, func() { c.Close() })
-	if err := c.SetDeadline(time.Now().Add(o.Remaining + lateSlack)); err != nil {
+	x.stopWatch = context.AfterFunc(ctx, func() { c.Close() })
+	if err := c.SetDeadline(time.Now().Add(o.Remaining + responseSlack)); err != nil {
 		return nil, x.fail(verdict.NotRun, "set deadline", err)
 	}
 	if err := x.write(t.codec.AppendRequest(nil, r, o)); err != nil {
@@ -99,25 +100,26 @@
 	return x.readHead()
 }
 
-// Forget closes the idle connections to servers that are gone.
-func (t *Transport) Forget(gone func(serverID string) bool) {
-	t.pool.drop(func(key string, _ *conn) bool { return gone(serverOf(key)) })
+// CloseServers closes the idle connections to servers that are gone.
+func (t *Transport) CloseServers(gone func(serverID string) bool) {
+	t.pool.closeIf(func(key string, _ *conn) bool { return gone(serverID(key)) })
 }
 
-// Expire closes idle connections that the servers are about to close.
-func (t *Transport) Expire(now time.Time) {
-	t.pool.drop(func(_ string, c *conn) bool { return !c.fresh(now) })
+// CloseExpired closes the idle connections that the servers are about to close.
+func (t *Transport) CloseExpired(now time.Time) {
+	t.pool.closeIf(func(_ string, c *conn) bool { return !c.withinIdleTimeout(now) })
 }
 
-// Distrust closes the idle connections last used before a moment. It is called
-// when a kept connection has gone silent: others that have not been heard since
-// may have gone with it.
-func (t *Transport) Distrust(before time.Time) {
-	t.pool.drop(func(_ string, c *conn) bool { return c.idleSince.Before(before) })
+// CloseIdleBefore closes the connections that have been idle since before a given
+// time. It is called when a reused connection turns out to be unresponsive, because
+// others that have received nothing since then may be too.
+func (t *Transport) CloseIdleBefore(before time.Time) {
+	t.pool.closeIf(func(_ string, c *conn) bool { return c.idleSince.Before(before) })
 }
 
+// connect returns an idle connection from the pool or a new one.
 func (t *Transport) connect(ctx context.Context, key string, o request.Options) (*conn, error) {
-	if c := t.pool.take(key, time.Now()); c != nil {
+	if c := t.pool.get(key, time.Now()); c != nil {
 		t.reused.Inc(1)
 		return c, nil
 	}
@@ -135,12 +137,12 @@
 
 func poolKey(s backend.Server) string { return s.ID + keySeparator + s.Address }
 
-func serverOf(key string) string {
+func serverID(key string) string {
 	id, _, _ := strings.Cut(key, keySeparator)
 	return id
 }
 
-// exchange is one request and its answer on a connection.
+// exchange is a request and its response on a connection.
 type exchange struct {
 	transport *Transport
 	key       string
@@ -149,19 +151,21 @@
 	options   *request.Options
 	// sent is when the request was sent.
 	sent time.Time
-	stop func() bool
-	// written is closed once the whole request has been written, and is nil if
-	// that happened before the answer was read.
+	// stopWatch stops closing the connection when the context is done.
+	stopWatch func() bool
+	// written is closed once the write of the request has ended. It is nil if the
+	// request was written before the response was read.
 	written  chan struct{}
 	writeErr error
-	// extra is set when the connection carried an answer to another request.
-	extra bool
-	keep  bool
+	// sawStale is set if a response to another request was read on the connection.
+	sawStale bool
+	// reusable is set if the connection may be reused after a complete response.
+	reusable bool
 }
 
-// write sends the request. One that fits the windows is written at once.
+// write sends the request. One above syncWriteLimit is written in the background.
 func (x *exchange) write(data []byte) error {
-	if len(data) <= inlineBody {
+	if len(data) <= syncWriteLimit {
 		n, err := x.conn.Write(data)
 		if err != nil {
 			v := verdict.MayHaveRun
@@ -173,7 +177,7 @@
 		return nil
 	}
 	x.written = make(chan struct{})
-	// The exchange may end, and let go of its connection, before this does.
+	// The exchange may end and clear x.conn before the write ends.
 	c := x.conn
 	go func() {
 		defer close(x.written)
@@ -182,20 +186,20 @@
 	return nil
 }
 
-// readHead reads up to the head of the answer to this request. An answer to an
-// earlier request may come first; the request's id tells them apart.
+// readHead reads the head of the response to this request. Responses to earlier
+// requests may precede it; they are recognized by their request IDs and skipped.
 func (x *exchange) readHead() (*Reply, error) {
-	for range maxStale {
+	for range maxResponsesRead {
 		resp, err := x.readResponse()
 		if err != nil {
 			return nil, x.failRead(err)
 		}
 		a := x.transport.codec.ParseResponse(resp.StatusCode, resp.Header)
-		if a.RequestID == x.request.ID || (a.RequestID == "" && a.NotRun && !x.extra) {
-			x.transport.OnAnswer(Answered{ResponseHead: a, Server: x.options.Server, Stage: x.options.Stage, Sent: x.sent})
+		if a.RequestID == x.request.ID || (a.RequestID == "" && a.NotRun && !x.sawStale) {
+			x.transport.OnResponse(ResponseInfo{ResponseHead: a, Server: x.options.Server, Stage: x.options.Stage, Sent: x.sent})
 			return x.reply(resp, a), nil
 		}
-		x.extra = true
+		x.sawStale = true
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil || resp.Close {
 			return nil, x.fail(verdict.MayHaveRun, "read", errors.New("answer to another request"))
 		}
@@ -203,7 +207,7 @@
 	return nil, x.fail(verdict.MayHaveRun, "read", errors.New("answers to other requests only"))
 }
 
-// readResponse reads the head of the next final answer.
+// readResponse reads the head of the next final response, skipping 1xx responses.
 func (x *exchange) readResponse() (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(x.conn.reader, &http.Request{Method: x.request.Method})
@@ -216,42 +220,45 @@
 	}
 }
 
+// reply returns the Reply for a response head and decides whether the connection
+// may be reused.
 func (x *exchange) reply(resp *http.Response, a request.ResponseHead) *Reply {
-	x.keep = !resp.Close && !x.extra && resp.ContentLength >= -1 && !endsWithConnection(resp)
-	x.conn.keepFor = a.IdleTimeout
-	return &Reply{ResponseHead: a, Length: resp.ContentLength, Body: &body{ReadCloser: resp.Body, exchange: x}}
+	x.reusable = !resp.Close && !x.sawStale && resp.ContentLength >= -1 && !endsWithConnection(resp)
+	x.conn.idleTimeout = a.IdleTimeout
+	return &Reply{ResponseHead: a, Length: resp.ContentLength, Body: &replyBody{ReadCloser: resp.Body, exchange: x}}
 }
 
-// endsWithConnection reports whether only the end of the connection ends the
-// answer's body.
+// endsWithConnection reports whether the response's body is delimited only by the
+// close of the connection.
 func endsWithConnection(resp *http.Response) bool {
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 }
 
-// failRead is fail for an error of the read side: the server may have run the
-// request whatever the error is, unless nothing of it was written.
+// failRead ends the exchange after a read error. Whatever the error is, the server
+// may have run the request.
 func (x *exchange) failRead(err error) error {
 	var timeout net.Error
-	if errors.As(err, &timeout) && timeout.Timeout() && x.conn.used {
-		x.transport.Distrust(time.Now().Add(-unackedTimeout))
+	if errors.As(err, &timeout) && timeout.Timeout() && x.conn.reused {
+		x.transport.CloseIdleBefore(time.Now().Add(-ackTimeout))
 	}
 	return x.fail(verdict.MayHaveRun, "read", err)
 }
 
+// fail ends the exchange and returns an error with the given verdict.
 func (x *exchange) fail(v verdict.Verdict, step string, err error) error {
 	x.end(false)
 	return verdict.New(v, verdict.CodeBackendFailed, step+": "+err.Error())
 }
 
-// end gives the connection back, or closes it.
+// end returns the connection to the pool if it is reusable, and otherwise closes it.
 func (x *exchange) end(complete bool) {
 	if x.conn == nil {
 		return
 	}
 	c := x.conn
 	x.conn = nil
-	canceled := !x.stop()
-	if !complete || canceled || !x.keep || !x.wroteAll() || c.reader.Buffered() > 0 {
+	canceled := !x.stopWatch()
+	if !complete || canceled || !x.reusable || !x.wroteAll() || c.reader.Buffered() > 0 {
 		c.Close()
 		return
 	}
@@ -263,8 +270,8 @@
 }
 
 // wroteAll reports whether the whole request has been written. If the server
-// answered before it read the body, the rest would be taken for the next
-// request.
+// responded before it read the whole body, it would take the next request on the
+// connection for the rest of the body.
 func (x *exchange) wroteAll() bool {
 	if x.written == nil {
 		return true
@@ -277,14 +284,14 @@
 	}
 }
 
-// body is an answer's body that gives its connection back at the end.
-type body struct {
+// replyBody is a response body that releases its connection at the end.
+type replyBody struct {
 	io.ReadCloser
 	exchange *exchange
 }
 
 // Read implements io.Reader.
-func (b *body) Read(p []byte) (int, error) {
+func (b *replyBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err == io.EOF {
 		b.exchange.end(true)
@@ -292,13 +299,13 @@
 	return n, err
 }
 
-// Close gives up what has not been read.
-func (b *body) Close() error {
+// Close closes the connection unless the body has been read to its end.
+func (b *replyBody) Close() error {
 	b.exchange.end(false)
 	return nil
 }
 
-// ReadAll reads a reply's whole body, up to limit bytes.
+// ReadAll reads and closes the body, up to limit bytes.
 func (r *Reply) ReadAll(limit int64) ([]byte, error) {
 	defer r.Body.Close()
 	return io.ReadAll(io.LimitReader(r.Body, limit))
--- a/internal/direct/direct_test.go
+++ b/internal/direct/direct_test.go
@@ -25,17 +25,17 @@
 	RunSpecs(t, "direct")
 }
 
-// peer is a backend server that does what a test says to each connection.
-type peer struct {
+// testServer is a backend server that runs a test's function for each connection.
+type testServer struct {
 	address  string
 	accepted chan struct{}
 }
 
-func newPeer(serve func(n int, c net.Conn)) *peer {
+func newTestServer(serve func(n int, c net.Conn)) *testServer {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(l.Close)
-	p := &peer{address: l.Addr().String(), accepted: make(chan struct{}, 100)}
+	p := &testServer{address: l.Addr().String(), accepted: make(chan struct{}, 100)}
 	go func() {
 		for n := 1; ; n++ {
 			c, err := l.Accept()
@@ -49,8 +49,8 @@
 	return p
 }
 
-// answer reads one request and writes text, "ID" replaced by its id.
-func answer(c net.Conn, r *bufio.Reader, text string) error {
+// respond reads one request and writes text, with "ID" replaced by the request's ID.
+func respond(c net.Conn, r *bufio.Reader, text string) error {
 	req, err := http.ReadRequest(r)
 	if err != nil {
 		return err
@@ -62,14 +62,14 @@
 	return err
 }
 
-const whole = "HTTP/1.1 200 OK\r\nRequest-Id: ID\r\nResponse-Seal: s\r\nContent-Length: 5\r\n\r\nhello"
+const completeResponse = "HTTP/1.1 200 OK\r\nRequest-Id: ID\r\nResponse-Seal: s\r\nContent-Length: 5\r\n\r\nhello"
 
-// each answers every request on a connection with text.
-func each(text string) func(int, net.Conn) {
+// respondToAll returns a function that responds to every request on a connection with text.
+func respondToAll(text string) func(int, net.Conn) {
 	return func(_ int, c net.Conn) {
 		defer c.Close()
 		r := bufio.NewReader(c)
-		for answer(c, r, text) == nil {
+		for respond(c, r, text) == nil {
 			continue
 		}
 	}
@@ -91,17 +91,17 @@
 	var t *direct.Transport
 	BeforeEach(func() { t = direct.New(platform.Dialect{}) })
 
-	It("keeps a connection for the next request", func() {
-		p := newPeer(each(whole))
+	It("reuses a connection for the next request", func() {
+		p := newTestServer(respondToAll(completeResponse))
 		for _, id := range []string{"a", "b", "c"} {
 			Expect(send(t, p.address, id, nil)).To(Equal("hello"))
 		}
 		Expect(p.accepted).To(HaveLen(1))
 	})
 
-	// Nobody listens at the address any more. Nothing can have run, so another
-	// server may take the request.
-	It("says not run when no connection can be made", func() {
+	// Guards against a verdict that forbids a retry although nothing can have run: no
+	// process listens at the address.
+	It("returns not run when no connection can be made", func() {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		l.Close()
@@ -109,10 +109,10 @@
 		Expect(verdict.Of(err).Verdict).To(Equal(verdict.NotRun))
 	})
 
-	// The server reads a request and its connection ends. It may have placed
-	// the hold, so nobody may say that it has not.
-	It("says may have run when the connection ends after the request was written", func() {
-		p := newPeer(func(_ int, c net.Conn) {
+	// Guards against a wrong promise that a request has not run: the server reads a
+	// request, may have placed the hold, and its connection ends.
+	It("returns may have run when the connection ends after the request was written", func() {
+		p := newTestServer(func(_ int, c net.Conn) {
 			_, _ = http.ReadRequest(bufio.NewReader(c))
 			c.Close()
 		})
@@ -120,16 +120,16 @@
 		Expect(verdict.Of(err).Verdict).To(Equal(verdict.MayHaveRun))
 	})
 
-	// A server closes an idle connection just before the next request. Written
-	// there, the request would be of unknown outcome though no server saw it.
-	It("does not use a kept connection that the server has closed", func() {
+	// Guards against an unknown outcome of a request that no server received: a server
+	// closes an idle connection just before the next request is written to it.
+	It("does not reuse a connection that the server has closed", func() {
 		closed := make(chan struct{})
-		p := newPeer(func(n int, c net.Conn) {
+		p := newTestServer(func(n int, c net.Conn) {
 			if n > 1 {
-				each(whole)(n, c)
+				respondToAll(completeResponse)(n, c)
 				return
 			}
-			_ = answer(c, bufio.NewReader(c), whole)
+			_ = respond(c, bufio.NewReader(c), completeResponse)
 			c.Close()
 			close(closed)
 		})
@@ -138,43 +138,43 @@
 		Eventually(func() (string, error) { return send(t, p.address, "b", nil) }).Should(Equal("hello"))
 	})
 
-	// A late answer to an earlier request comes where the next one is expected.
-	It("passes over an answer to another request", func() {
-		p := newPeer(each("HTTP/1.1 200 OK\r\nRequest-Id: other\r\nResponse-Seal: s\r\nContent-Length: 3\r\n\r\nbad" + whole))
+	// Guards against returning a late response to an earlier request.
+	It("skips a response to another request", func() {
+		p := newTestServer(respondToAll("HTTP/1.1 200 OK\r\nRequest-Id: other\r\nResponse-Seal: s\r\nContent-Length: 3\r\n\r\nbad" + completeResponse))
 		Expect(send(t, p.address, "a", nil)).To(Equal("hello"))
 		Expect(send(t, p.address, "b", nil)).To(Equal("hello"))
 		Expect(p.accepted).To(HaveLen(2))
 	})
 
-	It("tells a short answer from a whole one", func() {
-		p := newPeer(func(_ int, c net.Conn) {
-			_ = answer(c, bufio.NewReader(c), whole[:len(whole)-2])
+	It("detects a truncated response", func() {
+		p := newTestServer(func(_ int, c net.Conn) {
+			_ = respond(c, bufio.NewReader(c), completeResponse[:len(completeResponse)-2])
 			c.Close()
 		})
 		_, err := send(t, p.address, "a", nil)
 		Expect(err).To(MatchError(io.ErrUnexpectedEOF))
 	})
 
-	It("takes the end of the connection for the end of an answer without length", func() {
-		p := newPeer(func(_ int, c net.Conn) {
-			_ = answer(c, bufio.NewReader(c), "HTTP/1.1 200 OK\r\nRequest-Id: ID\r\nResponse-Seal: s\r\n\r\nhello")
+	It("accepts a response without length that the end of the connection delimits", func() {
+		p := newTestServer(func(_ int, c net.Conn) {
+			_ = respond(c, bufio.NewReader(c), "HTTP/1.1 200 OK\r\nRequest-Id: ID\r\nResponse-Seal: s\r\n\r\nhello")
 			c.Close()
 		})
 		Expect(send(t, p.address, "a", nil)).To(Equal("hello"))
 	})
 
-	// A server answers a long request before it has read the body, and goes on
-	// reading. Were its connection used again, the next request would be taken
-	// for the rest of that body. Once, the process crashed here instead.
-	It("gives up a connection on which a body is still being written", func() {
-		p := newPeer(func(_ int, c net.Conn) {
+	// Guards against a request that the server takes for the rest of an earlier body: the
+	// server responds to a long request before it has read the body, and the connection
+	// is reused. The process once crashed in this case.
+	It("closes a connection on which a body is still being written", func() {
+		p := newTestServer(func(_ int, c net.Conn) {
 			defer c.Close()
 			r := bufio.NewReader(c)
 			req, err := http.ReadRequest(r)
 			if err != nil {
 				return
 			}
-			_, _ = io.WriteString(c, strings.ReplaceAll(whole, "ID", req.Header.Get("Request-Id")))
+			_, _ = io.WriteString(c, strings.ReplaceAll(completeResponse, "ID", req.Header.Get("Request-Id")))
 			time.Sleep(20 * time.Millisecond)
 			_, _ = io.Copy(io.Discard, req.Body)
 			_, _ = io.Copy(io.Discard, r)
--- a/internal/direct/pool.go
+++ b/internal/direct/pool.go
@@ -6,20 +6,21 @@
 )
 
 const (
-	// maxIdle bounds the connections kept idle to one backend server. An entry
-	// seldom has more requests than this at one server.
-	maxIdle = 16
-	// defaultKeep is how long an idle connection is trusted if the server did
-	// not say; shorter than the common timeouts of servers.
-	defaultKeep = 4 * time.Second
-	// keepMargin is taken off what the server says. It says whole seconds, and
-	// a request that crosses its close may or may not have run.
-	keepMargin = 900 * time.Millisecond
-	// leastKeep is the least time for which a kept connection is used again.
-	leastKeep = 300 * time.Millisecond
+	// maxIdlePerServer limits the idle connections to one backend server. A gateway
+	// rarely has more requests in flight at one server.
+	maxIdlePerServer = 16
+	// defaultIdleTimeout is how long an idle connection may be reused if the server
+	// states no timeout. It is shorter than the common timeouts of servers.
+	defaultIdleTimeout = 4 * time.Second
+	// idleTimeoutMargin is subtracted from the timeout that a server states, which is
+	// in whole seconds. A request sent while the server closes the connection may or
+	// may not have run.
+	idleTimeoutMargin = 900 * time.Millisecond
+	// minIdleTimeout is the lower limit of the idle timeout after the margin.
+	minIdleTimeout = 300 * time.Millisecond
 )
 
-// pool keeps idle connections, by server.
+// pool holds the idle connections by server.
 type pool struct {
 	mu   sync.Mutex
 	idle map[string][]*conn
@@ -27,14 +28,15 @@
 
 func newPool() *pool { return &pool{idle: make(map[string][]*conn)} }
 
-// take returns the connection that was used last, or nil.
-func (p *pool) take(key string, now time.Time) *conn {
+// get removes and returns the most recently used connection that is still usable,
+// or nil. It closes those that are not.
+func (p *pool) get(key string, now time.Time) *conn {
 	for {
 		c := p.pop(key)
 		if c == nil {
 			return nil
 		}
-		if c.fresh(now) && c.quiet() {
+		if c.withinIdleTimeout(now) && c.healthy() {
 			return c
 		}
 		c.Close()
@@ -53,46 +55,47 @@
 	return c
 }
 
-// put keeps a connection on which nothing is outstanding.
+// put adds a connection without an outstanding request, or closes it if there are
+// too many.
 func (p *pool) put(key string, c *conn, now time.Time) {
 	c.idleSince = now
-	c.used = true
+	c.reused = true
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[key]) >= maxIdle {
+	if len(p.idle[key]) >= maxIdlePerServer {
 		c.Close()
 		return
 	}
 	p.idle[key] = append(p.idle[key], c)
 }
 
-// drop closes the idle connections for which forget holds.
-func (p *pool) drop(forget func(key string, c *conn) bool) {
+// closeIf closes the idle connections for which match returns true.
+func (p *pool) closeIf(match func(key string, c *conn) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for key, conns := range p.idle {
-		kept := conns[:0]
+		remaining := conns[:0]
 		for _, c := range conns {
-			if forget(key, c) {
+			if match(key, c) {
 				c.Close()
 				continue
 			}
-			kept = append(kept, c)
+			remaining = append(remaining, c)
 		}
-		clear(conns[len(kept):])
-		if len(kept) == 0 {
+		clear(conns[len(remaining):])
+		if len(remaining) == 0 {
 			delete(p.idle, key)
 			continue
 		}
-		p.idle[key] = kept
+		p.idle[key] = remaining
 	}
 }
 
-// fresh reports whether the server surely keeps the connection open still.
-func (c *conn) fresh(now time.Time) bool {
-	keep := defaultKeep
-	if c.keepFor > 0 {
-		keep = max(leastKeep, c.keepFor-keepMargin)
+// withinIdleTimeout reports whether the server should still have the connection open.
+func (c *conn) withinIdleTimeout(now time.Time) bool {
+	timeout := defaultIdleTimeout
+	if c.idleTimeout > 0 {
+		timeout = max(minIdleTimeout, c.idleTimeout-idleTimeoutMargin)
 	}
-	return now.Sub(c.idleSince) < keep
+	return now.Sub(c.idleSince) < timeout
 }
--- a/internal/direct/probe.go
+++ b/internal/direct/probe.go
@@ -8,15 +8,15 @@
 	"pistachioroad.dev/pistachioroad/internal/backend"
 )
 
-// Presence is what a new connection to a server shows.
+// Presence is the result of probing a server with a new connection.
 type Presence uint8
 
 const (
-	// Unknown: no answer; the server or the way to it is lost.
+	// Unknown means that there was no response: the server or the network is down.
 	Unknown Presence = iota
-	// Listening: a process takes connections at its address.
+	// Listening means that a process accepts connections at the server's address.
 	Listening
-	// Absent: nothing listens there.
+	// Absent means that no process listens at the server's address.
 	Absent
 )
 
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -16,15 +16,15 @@
 
 const (
 	dialTimeout = time.Second
-	// maxIdleConns bounds the connections kept open to one engine.
+	// maxIdleConns limits the idle connections to one engine.
 	maxIdleConns = 64
-	// maxLine bounds one line of an answer in bytes.
-	maxLine = 1 << 20
-	// maxReport bounds a report of state, load or cache events in bytes.
-	maxReport = 4 << 20
+	// maxLineBytes limits one line of a response.
+	maxLineBytes = 1 << 20
+	// maxReportBytes limits a report of state, load or cache events.
+	maxReportBytes = 4 << 20
 )
 
-// Client is an Engine over HTTP.
+// Client implements Engine over HTTP.
 type Client struct {
 	base string
 	http *http.Client
@@ -32,14 +32,14 @@
 
 var _ Engine = (*Client)(nil)
 
-// NewClient returns a Client of the engine at address, an IP number and a
-// port. It connects on first use.
+// NewClient returns a Client of the engine at address, an IP address and port. It
+// connects on first use.
 func NewClient(address string) *Client {
 	return &Client{base: "http://" + address, http: &http.Client{Transport: newTransport()}}
 }
 
-// newTransport leaves out the environment's proxy: the engine is the
-// neighbour on the same VM.
+// newTransport returns a transport that ignores the proxy of the environment, because
+// the engine is on the same VM.
 func newTransport() *http.Transport {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	return &http.Transport{
@@ -50,8 +50,8 @@
 	}
 }
 
-// line is one line of an answer; one field is set.
-type line struct {
+// responseLine is one line of a response. Exactly one field is set.
+type responseLine struct {
 	Piece  *Chunk  `json:"piece,omitempty"`
 	Finish *Finish `json:"finish,omitempty"`
 	Error  string  `json:"error,omitempty"`
@@ -65,19 +65,19 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return Finish{}, generateError(resp)
+		return Finish{}, classifyGenerateStatus(resp)
 	}
-	return readAnswer(resp.Body, emit)
+	return readResponse(resp.Body, emit)
 }
 
-// readAnswer passes the pieces on until the line that ends the answer. An
-// engine that crashes leaves an answer that merely stops; without the last line
-// it would pass for a shorter whole one.
-func readAnswer(body io.Reader, emit func(Chunk) error) (Finish, error) {
+// readResponse passes the chunks to emit until the line that finishes the response.
+// The response of a crashed engine ends without that line; otherwise it could not be
+// distinguished from a shorter, complete one.
+func readResponse(body io.Reader, emit func(Chunk) error) (Finish, error) {
 	lines := bufio.NewScanner(body)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
-		var l line
+		var l responseLine
 		if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
 			return Finish{}, eris.Wrap(ErrInterrupted, "unreadable line: "+err.Error())
 		}
@@ -100,13 +100,13 @@
 
 // Cancel implements Engine.
 func (c *Client) Cancel(ctx context.Context, id string) error {
-	resp, err := c.post(ctx, "/cancel", cancellation{ID: id}, time.Time{})
+	resp, err := c.post(ctx, "/cancel", cancelRequest{ID: id}, time.Time{})
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode >= http.StatusMultipleChoices {
-		return statusError(resp)
+		return classifyStatus(resp)
 	}
 	return nil
 }
@@ -122,7 +122,7 @@
 	case resp.StatusCode == http.StatusConflict:
 		return ErrFenced
 	case resp.StatusCode >= http.StatusMultipleChoices:
-		return statusError(resp)
+		return classifyStatus(resp)
 	}
 	return nil
 }
@@ -142,37 +142,37 @@
 	return get[[]CacheEvent](ctx, c, "/events?after="+strconv.FormatUint(after, 10))
 }
 
-// cancellation is the body of a cancel.
-type cancellation struct {
+// cancelRequest is the body of a cancel request.
+type cancelRequest struct {
 	ID string `json:"id"`
 }
 
-// post sends body as JSON, unless the time before is over.
-func (c *Client) post(ctx context.Context, path string, body any, before time.Time) (*http.Response, error) {
+// post sends body as JSON unless the deadline has passed. A zero deadline means no limit.
+func (c *Client) post(ctx context.Context, path string, body any, deadline time.Time) (*http.Response, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return nil, eris.Wrap(ErrNotSent, err.Error())
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+path, NewDeadlineBody(data, before))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+path, NewDeadlineBody(data, deadline))
 	if err != nil {
 		return nil, eris.Wrap(ErrNotSent, err.Error())
 	}
 	req.ContentLength = int64(len(data))
-	// With GetBody, net/http sends a POST again if the idle connection that it
-	// picked had been closed and nothing was written; never after that.
-	req.GetBody = func() (io.ReadCloser, error) { return NewDeadlineBody(data, before), nil }
+	// With GetBody set, net/http retries a POST if the idle connection that it chose
+	// was already closed and nothing was written, and never after that.
+	req.GetBody = func() (io.ReadCloser, error) { return NewDeadlineBody(data, deadline), nil }
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, sendError(err)
+		return nil, classifySendError(err)
 	}
 	return resp, nil
 }
 
-// sendError tells an engine that was not reached from one whose reply was
-// lost. Only a failed dial, or a body that was held back, proves that no whole
-// request was sent.
-func sendError(err error) error {
+// classifySendError returns ErrNotSent if the engine was not reached and
+// ErrInterrupted if its reply was lost. Only a failed dial or a body withheld after
+// its deadline proves that no complete request was sent.
+func classifySendError(err error) error {
 	var op *net.OpError
 	if errors.Is(err, ErrDeadlinePassed) || errors.As(err, &op) && op.Op == "dial" {
 		return eris.Wrap(ErrNotSent, err.Error())
@@ -180,9 +180,10 @@
 	return eris.Wrap(ErrInterrupted, err.Error())
 }
 
-// generateError tells a request that the engine failed from an engine that
-// failed: an error that the engine reports says nothing about other requests.
-func generateError(resp *http.Response) error {
+// classifyGenerateStatus returns the error for the status of a generate request. A
+// failure of one request that the engine reports is distinct from a failure of the
+// engine, since it implies nothing about other requests.
+func classifyGenerateStatus(resp *http.Response) error {
 	switch {
 	case resp.StatusCode == http.StatusConflict,
 		resp.StatusCode == http.StatusTooManyRequests,
@@ -197,9 +198,9 @@
 	}
 }
 
-// statusError tells a refusal, after which nothing runs, from any other
-// failure.
-func statusError(resp *http.Response) error {
+// classifyStatus returns ErrRejected if nothing will run, and ErrInterrupted for any
+// other failure.
+func classifyStatus(resp *http.Response) error {
 	switch resp.StatusCode {
 	case http.StatusConflict, http.StatusServiceUnavailable:
 		return eris.Wrap(ErrRejected, resp.Status)
@@ -208,6 +209,7 @@
 	}
 }
 
+// get requests a JSON report from the engine.
 func get[T any](ctx context.Context, c *Client, path string) (T, error) {
 	var report T
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+path, http.NoBody)
@@ -216,13 +218,13 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return report, sendError(err)
+		return report, classifySendError(err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return report, statusError(resp)
+		return report, classifyStatus(resp)
 	}
-	err = json.NewDecoder(io.LimitReader(resp.Body, maxReport)).Decode(&report)
+	err = json.NewDecoder(io.LimitReader(resp.Body, maxReportBytes)).Decode(&report)
 	if err != nil {
 		return report, eris.Wrap(ErrInterrupted, err.Error())
 	}
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -23,37 +23,37 @@
 }
 
 var _ = Describe("Client", func() {
-	It("passes on the pieces and the finish", func() {
-		text, finish, err := generate(answering(200,
+	It("emits the chunks and returns the finish", func() {
+		text, finish, err := generate(respondWith(200,
 			`{"piece":{"text":"a","tokens":1}}`, `{"piece":{"text":"b","tokens":1}}`, `{"finish":{"reason":"stop"}}`))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(text).To(Equal("ab"))
 		Expect(finish.Reason).To(Equal("stop"))
 	})
 
-	// An engine crashes, and its answer merely stops. A caller would take the
-	// part for the whole.
-	DescribeTable("does not take a part for the whole", func(lines ...string) {
-		_, _, err := generate(answering(200, lines...))
+	// Guards against a truncated answer that looks complete: an engine crashes, and its
+	// response ends early.
+	DescribeTable("returns an error for an incomplete response", func(lines ...string) {
+		_, _, err := generate(respondWith(200, lines...))
 		Expect(err).To(MatchError(engine.ErrInterrupted))
 	},
-		Entry("no end", `{"piece":{"text":"a","tokens":1}}`),
-		Entry("nothing at all"),
+		Entry("no finish line", `{"piece":{"text":"a","tokens":1}}`),
+		Entry("empty response"),
 		Entry("half a line", `{"piece":{"te`),
 	)
 
-	// An engine that reports the failure of one request works on; taken for a
-	// crash, one bad prompt would stop all work of the engine again and again.
-	It("tells a failed request from a failed engine", func() {
-		_, _, err := generate(answering(200, `{"piece":{"text":"a","tokens":1}}`, `{"error":"out of memory"}`))
+	// Guards against taking the reported failure of one request for a crash of the engine:
+	// one bad prompt would stop all work of the engine again and again.
+	It("distinguishes a failed request from a failed engine", func() {
+		_, _, err := generate(respondWith(200, `{"piece":{"text":"a","tokens":1}}`, `{"error":"out of memory"}`))
 		Expect(err).To(MatchError(engine.ErrRequestFailed))
 		Expect(err).NotTo(MatchError(engine.ErrInterrupted))
 	})
 
-	// Whether a request may be sent again depends on what the engine did with
-	// it; taken too lightly, work runs twice, too seriously, none is retried.
-	DescribeTable("tells what ran nothing from what may have run", func(status int, want error) {
-		_, _, err := generate(answering(status))
+	// Guards against requests that run twice, or are not retried although they have not
+	// run: whether a retry is allowed depends on the engine's status.
+	DescribeTable("maps the status to whether the request may have run", func(status int, want error) {
+		_, _, err := generate(respondWith(status))
 		Expect(err).To(MatchError(want))
 	},
 		Entry("busy", http.StatusServiceUnavailable, engine.ErrRejected),
@@ -63,7 +63,7 @@
 		Entry("fault", http.StatusInternalServerError, engine.ErrRequestFailed),
 	)
 
-	It("knows when nobody was there", func() {
+	It("returns ErrNotSent if no process listens", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(listener.Close()).To(Succeed())
@@ -72,15 +72,15 @@
 		Expect(err).To(MatchError(engine.ErrNotSent))
 	})
 
-	It("knows when the engine has taken a newer order", func() {
-		client, stop := serve(answering(http.StatusConflict))
+	It("returns ErrFenced if the engine has accepted a newer order", func() {
+		client, stop := serve(respondWith(http.StatusConflict))
 		defer stop()
 		Expect(client.Order(context.Background(), engine.Order{})).To(MatchError(engine.ErrFenced))
 	})
 
-	// The process is paused between its last look at the deadline and the
-	// moment when the request goes out.
-	It("holds back a request whose time is over", func() {
+	// Guards against starting a request after its deadline: the process is paused between
+	// its last check of the deadline and the sending of the request.
+	It("does not send a request after its deadline", func() {
 		var whole atomic.Int64
 		client, stop := serve(func(_ http.ResponseWriter, r *http.Request) {
 			if json.NewDecoder(r.Body).Decode(&engine.Request{}) == nil {
@@ -94,7 +94,7 @@
 	})
 })
 
-func answering(status int, lines ...string) http.HandlerFunc {
+func respondWith(status int, lines ...string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
 		_, _ = w.Write([]byte(strings.Join(lines, "\n")))
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,5 +1,5 @@
-// Package engine is the system's view of a model engine: generation, KV cache,
-// load reports, cache events and orders.
+// Package engine defines the interface to a model engine, with generation, KV cache,
+// load reports, cache events and orders, and an HTTP client for it.
 package engine
 
 import (
@@ -9,10 +9,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// PieceTokens is how many prompt tokens one piece of the KV cache holds.
+// KVBlockTokens is the number of prompt tokens in one block of the KV cache.
 const KVBlockTokens = 2000
 
-// Role says which work an engine takes.
+// Role is the kind of work that an engine does.
 type Role string
 
 // The roles of an engine.
@@ -22,43 +22,44 @@
 	RoleDecode  Role = "decode"
 )
 
-// Ticket names a KV cache that an engine has exported.
+// Ticket identifies KV cache that an engine has exported.
 type Ticket struct {
 	ID     string `json:"id"`
 	Source string `json:"source"`
 	Tokens int    `json:"tokens"`
 }
 
-// Request is one generation.
+// Request is a generation request.
 type Request struct {
 	ID        string `json:"id"`
 	Model     string `json:"model"`
 	Adapter   string `json:"adapter,omitempty"`
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max_tokens"`
-	// Priority orders the engine's own queue; lower runs first.
+	// Priority orders the engine's queue; lower values run first.
 	Priority int `json:"priority"`
-	// ResumeFrom is how many output tokens, spelt out in ResumeText, the
-	// caller already has.
+	// ResumeFrom is the number of output tokens that the caller already has, and
+	// ResumeText is their text.
 	ResumeFrom int     `json:"resume_from,omitempty"`
 	ResumeText string  `json:"resume_text,omitempty"`
 	KV         *Ticket `json:"kv,omitempty"`
-	// PrefillOnly asks for a Ticket in place of an answer.
+	// PrefillOnly requests a Ticket instead of an answer.
 	PrefillOnly bool `json:"prefill_only,omitempty"`
-	// TimeoutMS is how long the caller still waits, in milliseconds, when the
-	// request is sent; 0: not told.
+	// TimeoutMS is the caller's remaining timeout in milliseconds when the request
+	// is sent, 0 if unknown.
 	TimeoutMS int64 `json:"timeout_ms,omitempty"`
-	// StartBefore is when the request must no longer be sent; zero: no limit.
+	// SendDeadline is the time from which the request must not be sent. Zero means
+	// no limit.
 	SendDeadline time.Time `json:"-"`
 }
 
-// Piece is a run of output tokens.
+// Chunk is a run of output tokens.
 type Chunk struct {
 	Text   string `json:"text"`
 	Tokens int    `json:"tokens"`
 }
 
-// Finish ends a whole generation.
+// Finish is the end of a completed generation.
 type Finish struct {
 	// Reason is "stop" or "length".
 	Reason       string  `json:"reason"`
@@ -68,10 +69,11 @@
 	KV           *Ticket `json:"kv,omitempty"`
 }
 
-// Order asks an engine to become what its fields say. Loading takes seconds.
+// Order tells an engine which role, model, adapters and weights to use. Loading them
+// takes seconds.
 type Order struct {
-	// Generation is the fencing token: an engine that checks it refuses an
-	// order below the highest that it has taken.
+	// Generation is the fencing token. An engine that checks it rejects an order with
+	// a lower one than the highest it has accepted.
 	Generation uint64   `json:"generation"`
 	Role       Role     `json:"role"`
 	Model      string   `json:"model"`
@@ -79,20 +81,20 @@
 	Weights    string   `json:"weights"`
 }
 
-// State is what an engine says of itself.
+// State is an engine's report of its state.
 type State struct {
 	// Incarnation changes when the engine restarts.
 	Incarnation string `json:"incarnation"`
-	// Applied is the last order that took effect; Changing says that another
-	// is on its way.
+	// Applied is the last order that took effect. Changing is set while another one
+	// is being carried out.
 	Applied  Order `json:"applied"`
 	Changing bool  `json:"changing"`
 	Ready    bool  `json:"ready"`
 }
 
-// Load is an engine's own report; it lags. PrefillRate and DecodeRate are the
-// tokens a second, over the whole batch, that it reaches when it does nothing
-// else.
+// Load is an engine's report of its load, which lags behind. PrefillRate and
+// DecodeRate are the tokens a second, over the whole batch, that the engine reaches
+// when it does nothing else.
 type Load struct {
 	Running       int     `json:"running"`
 	Queued        int     `json:"queued"`
@@ -105,45 +107,47 @@
 	DecodeRate    float64 `json:"decode_rate"`
 }
 
-// CacheEvent says that prompt pieces were stored or evicted. Sequence numbers
-// rise by one; a gap means that events were lost.
+// CacheEvent reports that KV blocks of prompts were stored or evicted. Sequence
+// numbers increase by one; a gap means that events were lost.
 type CacheEvent struct {
 	Sequence uint64   `json:"sequence"`
 	Stored   []uint64 `json:"stored,omitempty"`
 	Evicted  []uint64 `json:"evicted,omitempty"`
 }
 
-// The errors of an Engine.
+// The errors that an Engine returns.
 var (
-	// ErrNotSent says that the engine was not reached: nothing ran.
+	// ErrNotSent means that the engine was not reached, so that nothing ran.
 	ErrNotSent = eris.New("engine not reached")
-	// ErrRefused says that the engine turned the request or order down.
+	// ErrRejected means that the engine rejected the request or order.
 	ErrRejected = eris.New("engine refused")
-	// ErrFenced says that the engine has taken a higher generation.
+	// ErrFenced means that the engine has accepted an order with a higher generation.
 	ErrFenced = eris.New("engine has taken a newer order")
-	// ErrInvalid says that the engine turned the request down for good: nothing
-	// ran, and nothing will.
+	// ErrInvalidRequest means that the engine rejected the request permanently. It has
+	// not run, and a retry would be rejected too.
 	ErrInvalidRequest = eris.New("engine rejected the request")
-	// ErrFailed says that the engine itself reported the failure of one request.
-	// It may have run; the engine goes on.
+	// ErrRequestFailed means that the engine reported the failure of one request. The
+	// request may have run; the engine continues to work.
 	ErrRequestFailed = eris.New("engine failed the request")
-	// ErrBroken says that the engine stopped part-way, without a word.
+	// ErrInterrupted means that the response was lost or ended early, without an error
+	// reported by the engine. The request may have run.
 	ErrInterrupted = eris.New("engine broke off")
 )
 
 // Engine is one model engine.
 type Engine interface {
-	// Generate runs r and calls emit for each piece, in order. It returns
-	// ErrNotSent, ErrRefused, ErrInvalid, ErrFailed or ErrBroken, or the error of
-	// emit.
+	// Generate runs r and calls emit for each chunk, in order. It returns ErrNotSent,
+	// ErrRejected, ErrInvalidRequest, ErrRequestFailed, ErrInterrupted or the error
+	// of emit.
 	Generate(ctx context.Context, r Request, emit func(Chunk) error) (Finish, error)
-	// Cancel stops a generation; one that is unknown is no error.
+	// Cancel stops a generation. An unknown ID is no error.
 	Cancel(ctx context.Context, id string) error
-	// Order returns once the engine has taken the order, not once it is ready:
-	// ErrNotSent, ErrRefused, ErrFenced, or ErrBroken when nothing is known.
+	// Order returns once the engine has accepted the order, not once it is ready. It
+	// returns ErrNotSent, ErrRejected, ErrFenced, or ErrInterrupted if the outcome is
+	// unknown.
 	Order(ctx context.Context, o Order) error
 	State(ctx context.Context) (State, error)
 	Load(ctx context.Context) (Load, error)
-	// CacheEvents returns the events after the sequence number given.
+	// CacheEvents returns the events after a sequence number.
 	CacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error)
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -16,92 +16,93 @@
 )
 
 const (
-	// maxSends bounds the sends of one request, refused ones and those that only
-	// have the prompt read included.
-	maxSends = 6
-	// leastLeft is the time below which a request is not sent any more: the
-	// answer could not come back.
-	leastLeft = 20 * time.Millisecond
+	// maxAttempts limits the attempts of one request, including rejected ones and
+	// those that request only a prefill.
+	maxAttempts = 6
+	// minRemaining is the remaining time below which a request is no longer sent,
+	// because the response could not arrive in time.
+	minRemaining = 20 * time.Millisecond
 )
 
-// send makes one attempt at a server. It returns an answer that comes from a
-// run, or the error of an attempt that gave none. The attempt is given up when
-// ctx ends.
+// send makes one attempt at a server. It returns the response if the server ran
+// the request, and an error otherwise. The attempt is canceled when ctx is done.
 func (c *call) send(ctx context.Context, server backend.Server, o request.Options) (*direct.Reply, *verdict.Error) {
-	if c.sends > 0 && !c.spendExtra() {
-		return nil, c.overBudget()
+	if c.attempts > 0 && !c.spendRetry() {
+		return nil, c.retryBudgetError()
 	}
 	invariant.Check(c.verdict == verdict.NotRun || c.route.Repeatable(), "runs-at-most-once",
 		"request %s of route %s is sent again after %s", c.id, c.route.Name, c.verdict)
-	c.sends++
+	c.attempts++
 	o.Server = server
-	o.Remaining = c.left()
+	o.Remaining = c.remaining()
 	c.trace.server = server.ID
-	c.sentAt = time.Now()
+	c.lastSentAt = time.Now()
 	reply, err := c.gateway.transport.Send(ctx, &c.request, o)
 	if err != nil {
 		e := verdict.Of(err)
 		if e.Verdict != verdict.NotRun {
-			c.runBroke(server)
+			c.reportBrokenConnection(server)
 		}
-		c.note(server, e.Verdict)
+		c.recordFailure(server, e.Verdict)
 		return nil, e
 	}
 	if reply.NotRun {
 		reply.Body.Close()
-		c.note(server, verdict.NotRun)
-		return nil, verdict.NewRejection(verdict.CodeOverloaded, "the backend server did not run it", leastRetry)
+		c.recordFailure(server, verdict.NotRun)
+		return nil, verdict.NewRejection(verdict.CodeOverloaded, "the backend server did not run it", minRetryAfter)
 	}
-	if e := unusable(reply); e != nil {
+	if e := checkReply(reply); e != nil {
 		reply.Body.Close()
-		c.note(server, verdict.MayHaveRun)
+		c.recordFailure(server, verdict.MayHaveRun)
 		return nil, e
 	}
 	c.verdict = verdict.Ran
-	c.ran++
+	c.possibleRuns++
 	return reply, nil
 }
 
-// spendExtra reports whether one more send is within the service's budget. Once
-// one is not, the call is over: to go on would place and prefill the prompt
-// again and again without ever sending it.
-func (c *call) spendExtra() bool {
-	if !c.gateway.allowExtra(c.service.Name, time.Now()) {
-		c.exhausted = true
-	}
-	return !c.exhausted
+// spendRetry reports whether one more attempt is within the service's retry budget.
+// Once one is not, the call fails. Otherwise the prompt would be assigned and
+// prefilled again and again without ever being sent for generation.
+func (c *call) spendRetry() bool {
+	if !c.gateway.allowRetry(c.service.Name, time.Now()) {
+		c.retryBudgetSpent = true
+	}
+	return !c.retryBudgetSpent
 }
 
-func (c *call) overBudget() *verdict.Error {
-	return verdict.NewRejection(verdict.CodeOverloaded, "the budget for repeated sends is used up", unknownRetry)
+func (c *call) retryBudgetError() *verdict.Error {
+	return verdict.NewRejection(verdict.CodeOverloaded, "the budget for repeated sends is used up", defaultRetryAfter)
 }
 
-// note takes the outcome of an attempt that gave no answer.
-func (c *call) note(server backend.Server, v verdict.Verdict) {
+// recordFailure records the verdict of an attempt without a usable response and
+// excludes the server.
+func (c *call) recordFailure(server backend.Server, v verdict.Verdict) {
 	c.verdict = verdict.Worst(c.verdict, v)
 	if v != verdict.NotRun {
-		c.ran++
+		c.possibleRuns++
 	}
 	c.exclude(server)
 }
 
-// exclude keeps a server from being tried again for this call.
+// exclude prevents a server from being tried again for this request.
 func (c *call) exclude(server backend.Server) {
-	if c.refusedBy == nil {
-		c.refusedBy = make(map[string]bool)
+	if c.excludedServers == nil {
+		c.excludedServers = make(map[string]bool)
 	}
-	c.refusedBy[server.ID] = true
+	c.excludedServers[server.ID] = true
 }
 
-// excluded reports whether the request is not to go to a server now: it was refused or
-// failed there, or the server's own limit leaves no room for it. A request under suspicion
-// does not go to a server in need at all.
+// excluded reports whether the request must not be sent to a server now: it was
+// rejected or failed there, or the server's announced limit leaves no room for it.
+// A request suspected of terminating servers is never sent to a server that
+// announces a limit, since that server is already under strain.
 func (c *call) excluded(server string) bool {
-	if c.refusedBy[server] {
+	if c.excludedServers[server] {
 		return true
 	}
 	limits := c.gateway.limits
-	if limits.allows(server) && !(c.standing.Suspected() && limits.has(server)) {
+	if limits.allows(server) && !(c.quarantineStatus.Suspected() && limits.has(server)) {
 		return false
 	}
 	if c.limitedBy == nil {
@@ -111,20 +112,21 @@
 	return true
 }
 
-// noServer is the outcome of a request that no server may get now. If that is for their
-// limits, its caller may come back when the first of them has room.
-func (c *call) noServer(message string) *verdict.Error {
+// noServerError returns the error of a request for which no server is eligible. If
+// servers were skipped for their limits, Retry-After is when the first of them has
+// room again.
+func (c *call) noServerError(message string) *verdict.Error {
 	if len(c.limitedBy) == 0 {
-		return verdict.NewRejection(verdict.CodeNoBackend, message, unknownRetry)
+		return verdict.NewRejection(verdict.CodeNoBackend, message, defaultRetryAfter)
 	}
-	wait := c.gateway.limits.wait(lo.Keys(c.limitedBy))
-	return verdict.NewRejection(verdict.CodeServerLimit, message+" that is not over its own limit", min(wait, max(leastRetry, place.MaxRetryAfter(c.left()))))
+	wait := c.gateway.limits.retryAfter(lo.Keys(c.limitedBy))
+	return verdict.NewRejection(verdict.CodeServerLimit, message+" that is not over its own limit", min(wait, max(minRetryAfter, place.MaxRetryAfter(c.remaining()))))
 }
 
-// unusable tells why an answer cannot be passed on: a success without the
-// server's authentication code is not the server's, and a status that promises
-// "not run" may not be passed on without that promise.
-func unusable(reply *direct.Reply) *verdict.Error {
+// checkReply returns an error if a response must not be forwarded. A success
+// without the server's authentication code may not be from the server, and a status
+// that promises "not run" is only forwarded if the server makes that promise.
+func checkReply(reply *direct.Reply) *verdict.Error {
 	switch {
 	case reply.Status < http.StatusMultipleChoices && !reply.Sealed:
 		return verdict.New(verdict.MayHaveRun, verdict.CodeAnswerBroken, "success without an authentication code")
@@ -135,6 +137,8 @@
 	}
 }
 
+// promisesNotRun reports whether callers take a status as a promise that the
+// request has not run.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -144,16 +148,16 @@
 	}
 }
 
-// mayRepeat reports whether the request may go to another server now.
-func (c *call) mayRepeat() bool {
-	if c.exhausted || c.sends+c.prefills >= maxSends || c.left() < leastLeft || c.ctx.Err() != nil {
+// mayRetry reports whether the request may be sent to another server now.
+func (c *call) mayRetry() bool {
+	if c.retryBudgetSpent || c.attempts+c.prefillAttempts >= maxAttempts || c.remaining() < minRemaining || c.ctx.Err() != nil {
 		return false
 	}
-	if c.examine() != nil {
+	if c.checkQuarantine() != nil {
 		return false
 	}
 	if c.verdict == verdict.NotRun {
 		return true
 	}
-	return c.route.Repeatable() && c.ran < c.route.MaxAttempts
+	return c.route.Repeatable() && c.possibleRuns < c.route.MaxAttempts
 }
--- a/internal/gateway/call_test.go
+++ b/internal/gateway/call_test.go
@@ -13,8 +13,9 @@
 	"pistachioroad.dev/pistachioroad/internal/verdict"
 )
 
-// An engine is silent for a second, and the request is sent to another one. Refused
-// there for being late, it would end in an error that tells its caller nothing.
+// Guards against rejecting a retry for being late: an engine stalls for a second, and
+// the request, which may have run, is sent to another one. A rejection there would fail
+// it with unknown outcome.
 func TestRequestsThatMayHaveRunAreNotLate(t *testing.T) {
 	now := time.Unix(1_000, 0)
 	c := &call{
@@ -22,33 +23,34 @@
 		deadline: now.Add(4 * time.Second),
 		route:    routes.Route{LatencyObjective: 500 * time.Millisecond},
 	}
-	if u := c.urgency(now); u.Objective != -500*time.Millisecond {
+	if u := c.constraints(now); u.Objective != -500*time.Millisecond {
 		t.Errorf("not run: objective %v, want -500ms", u.Objective)
 	}
 	c.verdict = verdict.MayHaveRun
-	if u := c.urgency(now); u.Objective != 4*time.Second {
+	if u := c.constraints(now); u.Objective != 4*time.Second {
 		t.Errorf("may have run: objective %v, want 4s", u.Objective)
 	}
 }
 
-// Guards against a request that is refused at its second send being counted twice.
+// Guards against double counting: a request is found to be quarantined at its second
+// attempt.
 func TestQuarantinedRequestsAreCountedOnce(t *testing.T) {
-	g := &Gateway{endings: newEndings()}
-	c := &call{gateway: g, identity: 1, deadline: time.Now().Add(time.Minute)}
+	g := &Gateway{terminations: newTerminations()}
+	c := &call{gateway: g, cachedFingerprint: 1, deadline: time.Now().Add(time.Minute)}
 	for i := range quarantine.TerminationThreshold {
 		ended := time.Now().Add(time.Duration(i) * time.Second)
-		g.endings.list.Add(time.Now(), quarantine.Evidence{
+		g.terminations.list.Add(time.Now(), quarantine.Evidence{
 			Request: 1, Instance: backend.Instance{ID: strconv.Itoa(i)}, SentAt: ended.Add(-time.Millisecond), ObservedAt: ended,
 		})
 	}
 	counter := metrics.GetOrRegisterCounter("gateway.requests_quarantined", nil)
 	before := counter.Count()
 	for range 2 {
-		if c.examine() == nil {
-			t.Fatal("not refused")
+		if c.checkQuarantine() == nil {
+			t.Fatal("not quarantined")
 		}
 	}
-	g.observe(c)
+	g.recordMetrics(c)
 	if counted := counter.Count() - before; counted != 1 {
 		t.Errorf("counted %d times", counted)
 	}
--- a/internal/gateway/engines.go
+++ b/internal/gateway/engines.go
@@ -16,69 +16,73 @@
 	"pistachioroad.dev/pistachioroad/internal/request"
 )
 
-// Share tells the other entries what this one does at the engines. Its methods
-// do not block.
+// Gossip announces to the other gateways what this one does at engines and what it
+// observes of servers. Its methods do not block.
 type Gossip interface {
+	// AnnouncePlacement announces that a request was assigned to engines,
+	// AnnouncePrefillDone that its prompt has been prefilled, and AnnounceFinished
+	// that it finished.
 	AnnouncePlacement(p place.Placement)
 	AnnouncePrefillDone(id place.JobID)
 	AnnounceFinished(id place.JobID)
-	// Avoid tells that an engine refuses work for a while.
+	// AnnounceAvoid announces that an engine rejects requests and is to be avoided for d.
 	AnnounceAvoid(service, engine string, d time.Duration)
-	// ServerEnded tells all that a server ended under a request, or that it ended well;
-	// ServerEndedAgain tells some of them once more.
+	// AnnounceTermination announces to all gateways that a server terminated while it ran a
+	// request, or that the request completed; ReannounceTermination repeats that to some.
 	AnnounceTermination(e quarantine.Evidence)
 	ReannounceTermination(e quarantine.Evidence)
-	// ServerLimit tells all what a server said of its limit; ServerLimitAgain tells some
-	// of them once more.
+	// AnnounceServerLimit announces to all gateways the limit that a server announced, or
+	// that it has none; ReannounceServerLimit repeats that to some.
 	AnnounceServerLimit(n ratelimit.Notice)
 	ReannounceServerLimit(n ratelimit.Notice)
-	// RankFor ranks this entry among those that could send to a server.
+	// RankFor returns the rank of this gateway for a server in a round. The ranks
+	// decide which gateways may send requests to a server that announces a limit.
 	RankFor(server string, round uint64) ratelimit.Rank
-	// Membership differs from an earlier one if ranks may have changed since.
+	// MembershipVersion returns a value that changes whenever ranks may have changed.
 	MembershipVersion() uint64
-	// Count returns how many entries there are, this one included.
+	// GatewayCount returns the number of gateways, including this one.
 	GatewayCount() int
-	// JoinGroup returns this entry's group among a number of groups. From then
-	// on placements and their ends are told to its entries only.
+	// JoinGroup returns this gateway's group among count groups. From then on
+	// placements and their ends are announced within the group only.
 	JoinGroup(count uint64) place.Group
 }
 
-// noShare is the Share of an entry that has no others.
-type noShare struct{}
+// noGossip is the Gossip of a gateway without peers.
+type noGossip struct{}
 
-func (noShare) AnnouncePlacement(place.Placement)           {}
-func (noShare) AnnouncePrefillDone(place.JobID)             {}
-func (noShare) AnnounceFinished(place.JobID)                {}
-func (noShare) AnnounceAvoid(string, string, time.Duration) {}
-func (noShare) AnnounceTermination(quarantine.Evidence)     {}
-func (noShare) ReannounceTermination(quarantine.Evidence)   {}
-func (noShare) AnnounceServerLimit(ratelimit.Notice)        {}
-func (noShare) ReannounceServerLimit(ratelimit.Notice)      {}
-func (noShare) RankFor(string, uint64) ratelimit.Rank       { return ratelimit.Rank{Total: 1} }
-func (noShare) MembershipVersion() uint64                   { return 0 }
-func (noShare) GatewayCount() int                           { return 1 }
-func (noShare) JoinGroup(uint64) place.Group                { return place.Group{} }
+func (noGossip) AnnouncePlacement(place.Placement)           {}
+func (noGossip) AnnouncePrefillDone(place.JobID)             {}
+func (noGossip) AnnounceFinished(place.JobID)                {}
+func (noGossip) AnnounceAvoid(string, string, time.Duration) {}
+func (noGossip) AnnounceTermination(quarantine.Evidence)     {}
+func (noGossip) ReannounceTermination(quarantine.Evidence)   {}
+func (noGossip) AnnounceServerLimit(ratelimit.Notice)        {}
+func (noGossip) ReannounceServerLimit(ratelimit.Notice)      {}
+func (noGossip) RankFor(string, uint64) ratelimit.Rank       { return ratelimit.Rank{Total: 1} }
+func (noGossip) MembershipVersion() uint64                   { return 0 }
+func (noGossip) GatewayCount() int                           { return 1 }
+func (noGossip) JoinGroup(uint64) place.Group                { return place.Group{} }
 
-// engines is the load of all model engines, by service.
+// engines tracks the load of all model engines, by service.
 type engines struct {
 	mu     sync.Mutex
 	fleets map[string]*place.Fleet
-	// names are the engines by their hashes.
-	names map[uint32]engineName
-	share Gossip
-	// count is how many engines there are.
+	// byHash maps the hashes of engines in announcements to the engines.
+	byHash map[uint32]engineKey
+	gossip Gossip
+	// count is the number of engines of all services.
 	count  int
-	limits *limits
+	limits *serverLimits
 }
 
-// engineName names an engine.
-type engineName struct{ service, id string }
+// engineKey identifies an engine.
+type engineKey struct{ service, id string }
 
-func newEngines(l *limits) *engines {
-	return &engines{fleets: make(map[string]*place.Fleet), share: noShare{}, limits: l}
+func newEngines(l *serverLimits) *engines {
+	return &engines{fleets: make(map[string]*place.Fleet), gossip: noGossip{}, limits: l}
 }
 
-// update takes in the servers and services of a new view.
+// update sets the engines to those of a new view.
 func (e *engines) update(v *directory.View) {
 	if v.Table == nil {
 		return
@@ -86,7 +90,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.count = 0
-	e.names = make(map[uint32]engineName)
+	e.byHash = make(map[uint32]engineKey)
 	for name, service := range v.Table.Services {
 		if service.Engine == nil {
 			continue
@@ -94,7 +98,7 @@
 		f := e.fleet(name)
 		var list []place.Engine
 		for _, s := range v.Service(name) {
-			e.names[place.EngineHash(s.ID)] = engineName{service: name, id: s.ID}
+			e.byHash[place.EngineHash(s.ID)] = engineKey{service: name, id: s.ID}
 			list = append(list, place.Engine{
 				ID: s.ID, DataCentre: s.DataCentre, Role: s.Role,
 				KVTokens: service.Engine.KVTokens, Slots: service.Engine.Slots, Incarnation: s.Incarnation,
@@ -106,7 +110,7 @@
 	}
 }
 
-// transferPerToken is how long one token's KV cache takes over a link.
+// transferPerToken returns the transfer time of one token's KV cache over a link.
 func transferPerToken(bytes, mbps float64) time.Duration {
 	if mbps <= 0 {
 		return 0
@@ -124,162 +128,167 @@
 	return f
 }
 
-// group returns this entry's group.
+// group joins and returns this gateway's group. The number of groups depends on the
+// numbers of gateways and engines.
 func (e *engines) group() place.Group {
-	return e.share.JoinGroup(place.GroupCount(e.share.GatewayCount(), e.count))
+	return e.gossip.JoinGroup(place.GroupCount(e.gossip.GatewayCount(), e.count))
 }
 
-// joinGroup has this entry take in its group, also while it places nothing.
+// joinGroup keeps the group up to date while this gateway makes no placements.
 func (e *engines) joinGroup() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.group()
 }
 
-// place chooses engines for a job and, if it is let in, notes that it goes
-// there. It returns false if no engine could run it.
-func (e *engines) place(now time.Time, service string, j place.Job, u place.Constraints) (place.Plan, place.Admission, bool) {
+// place chooses engines for a job and, if the job is admitted, records and announces
+// the placement. It returns false if no engine is eligible.
+func (e *engines) place(now time.Time, service string, j place.Job, constraints place.Constraints) (place.Plan, place.Admission, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	f := e.fleet(service)
 	j.Group = e.group()
-	p, a, ok := f.Plan(now, j, u)
+	p, a, ok := f.Plan(now, j, constraints)
 	if ok && a.Admit {
-		placement := place.Placement{ID: j.ID, Prompt: j.Prompt, Plan: p, Remaining: u.Remaining}
+		placement := place.Placement{ID: j.ID, Prompt: j.Prompt, Plan: p, Remaining: constraints.Remaining}
 		f.AddPlacement(now, placement)
-		e.share.AnnouncePlacement(placement)
-		e.takeFrom(p)
+		e.gossip.AnnouncePlacement(placement)
+		e.countSends(p)
 	}
 	return p, a, ok
 }
 
-// takeFrom notes the sends of a plan at engines with limits.
-func (e *engines) takeFrom(p place.Plan) {
-	e.limits.take(p.PrefillEngine)
+// countSends counts the requests of a plan against the limits of its engines.
+func (e *engines) countSends(p place.Plan) {
+	e.limits.countSend(p.PrefillEngine)
 	if p.Split() {
-		e.limits.take(p.DecodeEngine)
+		e.limits.countSend(p.DecodeEngine)
 	}
 }
 
-func (e *engines) readDone(service string, id place.JobID) {
+// prefillDone records and announces that a job's prompt has been prefilled.
+func (e *engines) prefillDone(service string, id place.JobID) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.fleet(service).LocalPrefillDone(time.Now(), id)
-	e.share.AnnouncePrefillDone(id)
+	e.gossip.AnnouncePrefillDone(id)
 }
 
-// firstToken notes that the answer to a job begins.
+// firstToken records that the first token of a job has arrived.
 func (e *engines) firstToken(service string, id place.JobID) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.fleet(service).FirstToken(time.Now(), id) {
-		e.share.AnnouncePrefillDone(id)
+		e.gossip.AnnouncePrefillDone(id)
 	}
 }
 
-// answered notes a whole answer.
-func (e *engines) answered(service string, hint, events int) {
+// completed records the length of a complete answer.
+func (e *engines) completed(service string, hint, events int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.fleet(service).ObserveAnswerLength(hint, events)
 }
 
-// event notes the time between two events of an answer.
-func (e *engines) event(service string, id place.JobID, gap time.Duration) {
+// interEventTime records the time between two stream events of an answer.
+func (e *engines) interEventTime(service string, id place.JobID, interval time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.fleet(service).ObserveInterEventTime(time.Now(), id, gap)
+	e.fleet(service).ObserveInterEventTime(time.Now(), id, interval)
 }
 
-func (e *engines) ended(service string, id place.JobID) {
+// finished removes a job from its engines and announces that it finished.
+func (e *engines) finished(service string, id place.JobID) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.fleet(service).JobFinished(time.Now(), id)
-	e.share.AnnounceFinished(id)
+	e.gossip.AnnounceFinished(id)
 }
 
-// avoid keeps an engine out that this entry could not reach or that failed it.
-// Others may reach it: a partition is seen from one side.
+// avoid makes this gateway avoid an engine that it could not reach or that failed.
+// It is not announced, because with a network partition others may reach the engine.
 func (e *engines) avoid(service, id string, d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.fleet(service).Avoid(id, time.Now().Add(d))
 }
 
-// refused keeps an engine out that refuses work, for all entries.
-func (e *engines) refused(service, id string, d time.Duration) {
+// avoidEverywhere makes all gateways avoid an engine, such as one that rejects requests.
+func (e *engines) avoidEverywhere(service, id string, d time.Duration) {
 	e.avoid(service, id, d)
-	e.share.AnnounceAvoid(service, id, d)
+	e.gossip.AnnounceAvoid(service, id, d)
 }
 
-// otherDecoder moves a job to another engine after its first refused.
-func (e *engines) otherDecoder(now time.Time, service string, j place.Job, u place.Constraints, p place.Plan) (place.Plan, bool) {
+// reassignDecoder chooses another decode engine for a job after the planned one
+// rejected it.
+func (e *engines) reassignDecoder(now time.Time, service string, j place.Job, constraints place.Constraints, p place.Plan) (place.Plan, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	f := e.fleet(service)
 	j.Group = e.group()
-	p, ok := f.AlternateDecodeEngine(now, j, u, p)
+	p, ok := f.AlternateDecodeEngine(now, j, constraints, p)
 	if ok {
 		f.SetDecodeEngine(now, j.ID, p.DecodeEngine)
-		e.limits.take(p.DecodeEngine)
+		e.limits.countSend(p.DecodeEngine)
 	}
 	return p, ok
 }
 
-// EngineWork returns how many requests an engine has, of all entries.
+// EngineInFlight returns how many requests of all gateways an engine has.
 func (g *Gateway) EngineInFlight(service, id string) int {
 	g.engines.mu.Lock()
 	defer g.engines.mu.Unlock()
 	return g.engines.fleet(service).InFlight(id)
 }
 
-// EnginePace returns how slow an engine is, compared with the others of its service.
+// EngineSpeed returns how slow an engine is compared with the others of its service.
 func (g *Gateway) EngineSpeed(service, id string) roles.Speed {
 	g.engines.mu.Lock()
 	defer g.engines.mu.Unlock()
 	return g.engines.fleet(service).Speed(id)
 }
 
-// EngineMisses returns the part of a service's answers, by length, that is expected to
-// miss its deadline; false while that is not known.
+// ExpectedMissRate returns the fraction of a service's answers, weighted by length,
+// that are expected to miss their deadlines. It returns false if that is unknown.
 func (g *Gateway) ExpectedMissRate(service string) (float64, bool) {
 	g.engines.mu.Lock()
 	defer g.engines.mu.Unlock()
 	return g.engines.fleet(service).ExpectedMissRate(time.Now())
 }
 
-// engineBelief is what is learned of a model engine, nil for other servers.
-func (g *Gateway) engineBelief(now time.Time, s backend.Server) *place.EngineEstimate {
+// engineEstimates returns what has been learned of a model engine, or nil for other servers.
+func (g *Gateway) engineEstimates(now time.Time, s backend.Server) *place.EngineEstimate {
 	if s.Role == backend.NoRole {
 		return nil
 	}
 	g.engines.mu.Lock()
 	defer g.engines.mu.Unlock()
-	b, ok := g.engines.fleet(s.Service).EngineEstimate(now, s.ID)
+	estimate, ok := g.engines.fleet(s.Service).EngineEstimate(now, s.ID)
 	if !ok {
 		return nil
 	}
-	return &b
+	return &estimate
 }
 
-// EngineRequests returns how many requests of a service all entries have placed
-// since this one was started.
+// EnginePlacements returns how many requests of a service all gateways have assigned
+// to engines since this process started.
 func (g *Gateway) EnginePlacements(service string) int64 {
 	g.engines.mu.Lock()
 	defer g.engines.mu.Unlock()
-	// This entry hears of its group's; the other groups have as many.
+	// This gateway counts the requests of its own group; the other groups are
+	// assumed to have as many each.
 	return g.engines.fleet(service).Placements() * int64(max(1, g.engines.group().Count))
 }
 
-// EngineKeeps notes parts of prompts that an engine said it keeps.
-func (g *Gateway) AddCachedSegments(service, id string, parts []request.Segment) {
+// AddCachedSegments records prompt segments that an engine reports as cached.
+func (g *Gateway) AddCachedSegments(service, id string, segments []request.Segment) {
 	g.engines.mu.Lock()
 	defer g.engines.mu.Unlock()
-	g.engines.fleet(service).AddCachedSegments(id, parts)
+	g.engines.fleet(service).AddCachedSegments(id, segments)
 }
 
-// LearnedState returns what was learned of the engines, by service; empty while too
-// little was seen.
+// LearnedState returns what has been learned of the engines, by service, without the
+// services that have too few samples.
 func (g *Gateway) LearnedState() map[string]place.Snapshot {
 	g.engines.mu.Lock()
 	defer g.engines.mu.Unlock()
@@ -292,9 +301,9 @@
 	return all
 }
 
-// RestoreLearned takes over what an earlier process has learned of the engines. The
-// error says what could not be used.
-func (g *Gateway) RestoreLearned(all map[string]place.Snapshot) error {
+// RestoreLearnedState loads what an earlier process has learned of the engines. It
+// skips invalid state and returns an error that describes it.
+func (g *Gateway) RestoreLearnedState(all map[string]place.Snapshot) error {
 	g.engines.mu.Lock()
 	defer g.engines.mu.Unlock()
 	var errs []error
@@ -304,24 +313,24 @@
 	return errors.Join(errs...)
 }
 
-// The methods below take in what other entries tell.
+// The methods below handle announcements of other gateways.
 
-// Engine returns the engine with a hash, and its service.
+// EngineByHash returns the engine with the given hash and its service.
 func (g *Gateway) EngineByHash(hash uint32) (service, id string, ok bool) {
 	g.engines.mu.Lock()
 	defer g.engines.mu.Unlock()
-	name, ok := g.engines.names[hash]
-	return name.service, name.id, ok
+	key, ok := g.engines.byHash[hash]
+	return key.service, key.id, ok
 }
 
-// RemotePlaced notes a job of another entry.
+// RemotePlacement records a placement by another gateway.
 func (g *Gateway) RemotePlacement(service string, p place.Placement) {
 	g.engines.mu.Lock()
 	defer g.engines.mu.Unlock()
 	g.engines.fleet(service).AddPlacement(time.Now(), p)
 }
 
-// RemoteReadDone notes that another entry's prompt has been read.
+// RemotePrefillDone records that the prompt of another gateway's job has been prefilled.
 func (g *Gateway) RemotePrefillDone(id place.JobID) {
 	g.engines.mu.Lock()
 	defer g.engines.mu.Unlock()
@@ -330,7 +339,7 @@
 	}
 }
 
-// RemoteEnded notes that another entry's job has ended.
+// RemoteFinished records that another gateway's job has finished.
 func (g *Gateway) RemoteFinished(id place.JobID) {
 	g.engines.mu.Lock()
 	defer g.engines.mu.Unlock()
@@ -339,20 +348,20 @@
 	}
 }
 
-// RemoteAvoid notes that an engine refuses work for a while.
+// RemoteAvoid makes this gateway avoid an engine, as another gateway announced.
 func (g *Gateway) RemoteAvoid(service, engine string, d time.Duration) {
 	g.engines.avoid(service, engine, d)
 }
 
-// EngineAway keeps an engine out, for all entries, while it changes its role.
+// AvoidEngine makes all gateways avoid an engine while it changes its role.
 func (g *Gateway) AvoidEngine(service, engine string, d time.Duration) {
-	g.engines.refused(service, engine, d)
+	g.engines.avoidEverywhere(service, engine, d)
 }
 
-// jobID is the id under which entries tell each other of a request.
+// jobID returns the ID by which gateways announce a request.
 func jobID(requestID string) place.JobID { return place.JobID(xxhash.Sum64String(requestID)) }
 
-// serverByID finds a server that may get new requests.
+// serverByID returns a server if it accepts new requests.
 func serverByID(v *directory.View, id string) (backend.Server, bool) {
 	s, ok := v.Servers[id]
 	return s, ok && !s.Draining
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -7,23 +7,24 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxEvent bounds the part of an event that is held back until it is whole.
-const maxEvent = 64 << 10
+// maxEventBytes limits how much of an incomplete event is buffered.
+const maxEventBytes = 64 << 10
 
 var (
 	eventEnd = []byte("\n\n")
 	idField  = []byte("id:")
 )
 
-// eventReader passes whole events only, and knows the last one's id. A stream
-// that breaks off within an event can then go on at another engine: the caller
-// has every event up to an id and no part of the next.
+// eventReader returns complete events only and tracks the ID of the last one. A
+// stream that is interrupted within an event can then be resumed at another engine,
+// because the caller has received all events up to an ID and no part of the next.
 type eventReader struct {
 	source io.Reader
-	// held is what was read and not passed on: whole events up to ready.
-	held  []byte
-	ready int
-	// lastID is the id of the last whole event, empty before the first.
+	// buffered is data that was read and not yet returned. The first ready bytes of
+	// it are complete events.
+	buffered []byte
+	ready    int
+	// lastID is the ID of the last complete event, empty before the first.
 	lastID string
 	err    error
 }
@@ -36,35 +37,36 @@
 		}
 		r.fill(len(p))
 	}
-	n := copy(p, r.held[:r.ready])
-	r.held = r.held[n:]
+	n := copy(p, r.buffered[:r.ready])
+	r.buffered = r.buffered[n:]
 	r.ready -= n
 	return n, nil
 }
 
-// fill reads more and finds the end of the last whole event.
+// fill reads more data and finds the end of the last complete event.
 func (r *eventReader) fill(size int) {
 	chunk := make([]byte, size)
 	n, err := r.source.Read(chunk)
-	// What was held has no end of an event. To look through it again for each
-	// piece takes seconds of processor for a long event in single bytes.
-	from := max(0, len(r.held)-len(eventEnd)+1)
-	r.held = append(r.held, chunk[:n]...)
+	// The buffered data contains no end of an event and is not searched again. For a
+	// long event that arrives byte by byte, that would take seconds of CPU time.
+	from := max(0, len(r.buffered)-len(eventEnd)+1)
+	r.buffered = append(r.buffered, chunk[:n]...)
 	r.err = err
-	if end := bytes.LastIndex(r.held[from:], eventEnd); end >= 0 {
+	if end := bytes.LastIndex(r.buffered[from:], eventEnd); end >= 0 {
 		r.ready = from + end + len(eventEnd)
-		r.noteID(r.held[:r.ready])
+		r.updateLastID(r.buffered[:r.ready])
 	}
 	switch {
 	case err == io.EOF:
-		// The server ended the answer; what is left belongs to it.
-		r.ready = len(r.held)
-	case len(r.held)-r.ready > maxEvent:
-		r.err = eris.New("an event is too long")
+		// The response is complete, and so is the rest of the data.
+		r.ready = len(r.buffered)
+	case len(r.buffered)-r.ready > maxEventBytes:
+		r.err = eris.New("stream event exceeds 64 KiB")
 	}
 }
 
-func (r *eventReader) noteID(events []byte) {
+// updateLastID sets lastID to the last ID field in complete events.
+func (r *eventReader) updateLastID(events []byte) {
 	for line := range bytes.Lines(events) {
 		if rest, ok := bytes.CutPrefix(line, idField); ok {
 			r.lastID = string(bytes.TrimSpace(rest))
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -29,7 +29,8 @@
 	RunSpecs(t, "gateway")
 }
 
-// configuration has a safe, an unsafe and two stream routes.
+// configuration has a safe route, an unsafe route and two stream routes, of which the
+// second is resumable.
 const configuration = `{"version":%VERSION%,"routes":[
  {"name":"read","hostname":"h.example","pathPrefix":"/read/","routeType":"safe","timeoutMs":2000,"latencyGoalMs":100,"serviceName":"plain","maxAttempts":2},
  {"name":"hold","hostname":"h.example","pathPrefix":"/hold/","routeType":"unsafe","timeoutMs":2000,"latencyGoalMs":100,"serviceName":"plain","maxAttempts":1},
@@ -38,79 +39,82 @@
  "services":[{"name":"plain","healthPath":"/health"},{"name":"llm","healthPath":"/health","engine":{"capacity":8,"kvCapacity":100000,"kvTokenBytes":1,"linkMbps":1000,"handleTtlS":5}}],
  "limits":{"maxHeaderBytes":16384,"maxBodyBytes":200000,"headerTimeoutMs":3000,"idleTimeoutMs":15000}}`
 
-// world is a gateway before stand-ins, all on loopback.
-type world struct {
-	store   *objectstore.Store
-	gateway *gateway.Gateway
-	dir     *directory.Directory
-	front   *httptest.Server
-	address map[string]string
+// fixture is a gateway with test doubles of the store and the backend servers, all on
+// the loopback interface.
+type fixture struct {
+	store     *objectstore.Store
+	gateway   *gateway.Gateway
+	dir       *directory.Directory
+	server    *httptest.Server
+	addresses map[string]string
 }
 
-func newWorld() *world { return newWorldWith(100) }
+func newFixture() *fixture { return newFixtureWith(100) }
 
-// newWorldWith bounds the sends beyond the first of each request.
-func newWorldWith(retrySlack float64) *world {
-	w := &world{store: objectstore.New(), address: map[string]string{}}
-	storeServer := httptest.NewServer(w.store)
+// newFixtureWith sets how many retries the retry budget allows beyond its fraction of
+// the requests.
+func newFixtureWith(retrySlack float64) *fixture {
+	f := &fixture{store: objectstore.New(), addresses: map[string]string{}}
+	storeServer := httptest.NewServer(f.store)
 	DeferCleanup(storeServer.CloseClientConnections)
 	client := platform.NewStore(strings.TrimPrefix(storeServer.URL, "http://"))
-	w.dir = directory.New(client, platform.Dialect{}, platform.Kinds)
-	w.gateway = gateway.New(gateway.Config{
+	f.dir = directory.New(client, platform.Dialect{}, platform.Kinds)
+	f.gateway = gateway.New(gateway.Config{
 		Deployment: deployment.Deployment{
 			Name: "f-1", DataCentre: "z", MemoryBytes: 64 << 20,
 			Bounds: deployment.Bounds{RetryShare: 0.2, RetrySlack: retrySlack, RetryWindow: 10 * time.Second, Grace: 8 * time.Second},
 		},
 		Dialect:   platform.Dialect{},
-		Directory: w.dir,
+		Directory: f.dir,
 	})
-	w.dir.OnChange = w.gateway.ViewChanged
-	w.front = httptest.NewServer(w.gateway)
-	DeferCleanup(w.front.CloseClientConnections)
-	return w
+	f.dir.OnChange = f.gateway.ViewChanged
+	f.server = httptest.NewServer(f.gateway)
+	DeferCleanup(f.server.CloseClientConnections)
+	return f
 }
 
-// follow starts to read the store.
-func (w *world) follow() {
+// follow starts following the store.
+func (f *fixture) follow() {
 	ctx, stop := context.WithCancel(context.Background())
 	DeferCleanup(stop)
-	go func() { _ = w.dir.FollowConfig(ctx) }()
-	go func() { _ = w.dir.FollowServers(ctx) }()
-	go func() { _ = w.dir.Expire(ctx) }()
+	go func() { _ = f.dir.FollowConfig(ctx) }()
+	go func() { _ = f.dir.FollowServers(ctx) }()
+	go func() { _ = f.dir.Expire(ctx) }()
 }
 
-func (w *world) configure(version string) {
-	w.store.PutRaw("config", "main", []byte(strings.ReplaceAll(configuration, "%VERSION%", version)))
+func (f *fixture) configure(version string) {
+	f.store.PutRaw("config", "main", []byte(strings.ReplaceAll(configuration, "%VERSION%", version)))
 }
 
-// add starts a runner and registers it.
-func (w *world) add(service string, r *runner.Runner) *runner.Runner {
+// add starts a runner and registers it in the store as a server of the service.
+func (f *fixture) add(service string, r *runner.Runner) *runner.Runner {
 	server := httptest.NewServer(r)
 	DeferCleanup(server.CloseClientConnections)
 	address := strings.TrimPrefix(server.URL, "http://")
 	r.Serve(address)
-	w.address[r.ID] = address
-	w.store.Put("servers", r.ID, r.Entry(service, address, "z", "ready"))
+	f.addresses[r.ID] = address
+	f.store.Put("servers", r.ID, r.Entry(service, address, "z", "ready"))
 	return r
 }
 
-// ready follows the store and waits until so many servers are known.
-func (w *world) ready(servers int) {
-	w.follow()
-	Eventually(func() int { return len(w.dir.View().Servers) }).Should(Equal(servers))
-	Eventually(func() bool { return w.dir.View().Table != nil }).Should(BeTrue())
+// followUntilKnown follows the store and waits until the configuration and the given
+// number of servers are known.
+func (f *fixture) followUntilKnown(servers int) {
+	f.follow()
+	Eventually(func() int { return len(f.dir.View().Servers) }).Should(Equal(servers))
+	Eventually(func() bool { return f.dir.View().Table != nil }).Should(BeTrue())
 }
 
-type answer struct {
+type response struct {
 	status int
 	header http.Header
 	body   string
 	err    error
 }
 
-// ask sends one request on a connection of its own.
-func (w *world) ask(method, target, id string, header ...string) answer {
-	req, err := http.NewRequest(method, w.front.URL+target, strings.NewReader(""))
+// send sends one request on a new connection. header holds names and values in turn.
+func (f *fixture) send(method, target, id string, header ...string) response {
+	req, err := http.NewRequest(method, f.server.URL+target, strings.NewReader(""))
 	Expect(err).NotTo(HaveOccurred())
 	req.Host = "h.example"
 	req.Close = true
@@ -121,16 +125,16 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	return answer{status: resp.StatusCode, header: resp.Header, body: string(body), err: err}
+	return response{status: resp.StatusCode, header: resp.Header, body: string(body), err: err}
 }
 
-// raw sends bytes on a connection and returns all that comes back.
-func (w *world) raw(text string) string {
-	c, err := net.Dial("tcp", strings.TrimPrefix(w.front.URL, "http://"))
+// sendRaw sends text on a new connection and returns what it receives within a second.
+func (f *fixture) sendRaw(text string) string {
+	c, err := net.Dial("tcp", strings.TrimPrefix(f.server.URL, "http://"))
 	Expect(err).NotTo(HaveOccurred())
 	defer c.Close()
 	_, err = io.WriteString(c, text)
@@ -140,7 +144,8 @@
 	return string(data)
 }
 
-func stream(id string, from, to int) string {
+// streamEvents returns the stream events of a request with the given numbers.
+func streamEvents(id string, from, to int) string {
 	var b strings.Builder
 	for n := from; n <= to; n++ {
 		b.WriteString(runner.Event(id, n))
@@ -148,8 +153,8 @@
 	return b.String()
 }
 
-// knowsServers follows the store and waits until the first server is known.
-func (w *world) knowsServers() {
-	w.follow()
-	Eventually(func() int { return len(w.dir.View().Servers) }).Should(Equal(1))
+// followServers follows the store and waits until one server is known.
+func (f *fixture) followServers() {
+	f.follow()
+	Eventually(func() int { return len(f.dir.View().Servers) }).Should(Equal(1))
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway is the front door for callers that speak to services by host
-// and path: it takes a request, chooses backend servers, sends it to them
-// directly and passes the answer on byte for byte.
+// Package gateway implements a reverse proxy for callers that address services
+// by host and path. It selects backend servers for each request, sends the
+// request to them directly and forwards the response byte for byte.
 package gateway
 
 import (
@@ -16,152 +16,160 @@
 	"pistachioroad.dev/pistachioroad/internal/request"
 )
 
-// Dialect is how callers and backend servers speak.
+// Dialect encodes and decodes the HTTP headers and bodies that callers and
+// backend servers use.
 type Dialect interface {
 	direct.Codec
-	// Request decodes the head of a caller's request.
+	// ParseRequest parses the head of a caller's request.
 	ParseRequest(r *http.Request, received time.Time) (request.Request, error)
-	// RequestID returns the id of a caller's request, empty if it has none.
+	// RequestID returns the ID of a caller's request, or "" if it has none.
 	RequestID(h http.Header) string
-	// Prefilled decodes the answer to a PrefillOnly send.
+	// ParsePrefilled parses the body of the response to a PrefillOnly request.
 	ParsePrefilled(body []byte) (request.PrefillResult, error)
-	// KVSource names KV cache at a backend server.
+	// KVSource encodes a reference to KV cache held by the backend server at address.
 	KVSource(address, handle string) string
-	// FreeHandle returns the method and path of the call that frees it.
+	// FreeHandle returns the method and path of the request that frees the KV
+	// cache of a handle.
 	FreeHandle(handle string) (method, path string)
 }
 
-// Gateway serves callers.
+// Gateway is the HTTP handler for callers' requests.
 type Gateway struct {
 	deployment atomic.Pointer[deployment.Deployment]
 	dialect    Dialect
 	transport  *direct.Transport
 	directory  *directory.Directory
 
-	// bodies bounds the bytes of request bodies that are held at once.
+	// bodies limits the memory of all request bodies in flight.
 	bodies bodyBudget
 
-	engines *engines
-	plain   *plain
-	endings *endings
-	limits  *limits
+	engines      *engines
+	plain        *plainBalancer
+	terminations *terminations
+	limits       *serverLimits
 
-	mu    sync.Mutex
-	sends map[string]*retry.AttemptLimiter
+	mu sync.Mutex
+	// retryBudgets limits the retries of each service.
+	retryBudgets map[string]*retry.AttemptLimiter
 
 	stopping atomic.Bool
 }
 
-// Config is what a Gateway is made of.
+// Config configures a Gateway.
 type Config struct {
 	Deployment deployment.Deployment
 	Dialect    Dialect
 	Directory  *directory.Directory
 }
 
-// bodyPart is the part of the process's memory that request bodies may take.
-// The rest is for answers in passing, connections and the runtime.
-const bodyPart = 0.25
-
-// ShareWith tells share what this gateway does at the engines from now on. It is
-// called before the gateway serves. The limits of the services are shared with
-// as many entries as share counts.
-func (g *Gateway) SetGossip(share Gossip) {
-	g.engines.share = share
-	g.endings.share = share
-	g.limits.share = share
+// bodyMemoryFraction is the fraction of the process's memory available to request
+// bodies. The rest is for response buffers, connections and the runtime.
+const bodyMemoryFraction = 0.25
+
+// SetGossip sets the gossip by which this gateway announces its requests to the
+// other gateways. It must be called before the gateway serves. The fixed part of
+// each service's retry budget is divided by the number of gateways that it reports.
+func (g *Gateway) SetGossip(gossip Gossip) {
+	g.engines.gossip = gossip
+	g.terminations.gossip = gossip
+	g.limits.gossip = gossip
 }
 
 // New returns a Gateway.
 func New(c Config) *Gateway {
-	l := newLimits()
+	l := newServerLimits()
 	g := &Gateway{
-		dialect:   c.Dialect,
-		transport: direct.New(c.Dialect),
-		directory: c.Directory,
-		engines:   newEngines(l),
-		plain:     newPlain(l),
-		endings:   newEndings(),
-		limits:    l,
-		sends:     make(map[string]*retry.AttemptLimiter),
+		dialect:      c.Dialect,
+		transport:    direct.New(c.Dialect),
+		directory:    c.Directory,
+		engines:      newEngines(l),
+		plain:        newPlainBalancer(l),
+		terminations: newTerminations(),
+		limits:       l,
+		retryBudgets: make(map[string]*retry.AttemptLimiter),
 	}
-	g.transport.OnAnswer = g.limits.answered
+	g.transport.OnResponse = g.limits.observe
 	g.deployment.Store(&c.Deployment)
-	g.bodies.limit = int64(bodyPart * float64(c.Deployment.MemoryBytes))
+	g.bodies.limit = int64(bodyMemoryFraction * float64(c.Deployment.MemoryBytes))
 	return g
 }
 
-// Relayed passes what other gateways have seen of the store to the directory.
+// RemoteConfirmation forwards another gateway's confirmation of the store's state to
+// the directory.
 func (g *Gateway) RemoteConfirmation(now time.Time, c directory.Confirmation) {
 	g.directory.RemoteConfirmation(now, c)
 }
 
-// RelayedEntry does the same for one change of an entry.
+// RemoteServerChange forwards a change of one server's store entry, received from
+// another gateway, to the directory.
 func (g *Gateway) RemoteServerChange(now time.Time, c directory.Change) {
 	g.directory.RemoteServerChange(now, c)
 }
 
-// Reload takes changed settings.
+// Reload replaces the deployment settings.
 func (g *Gateway) Reload(d deployment.Deployment) { g.deployment.Store(&d) }
 
-// ViewChanged takes in the servers and services of a new view.
+// ViewChanged updates the gateway to the servers and services of a new view.
 func (g *Gateway) ViewChanged(v *directory.View) {
 	g.engines.update(v)
-	g.plain.forget(v)
-	g.limits.forget(v)
-	g.transport.Forget(func(id string) bool {
+	g.plain.prune(v)
+	g.limits.prune(v)
+	g.transport.CloseServers(func(id string) bool {
 		s, ok := v.Servers[id]
 		return !ok || s.Draining
 	})
 }
 
-// entries returns how many entries share the limits of the services.
-func (g *Gateway) entries() int { return g.engines.share.GatewayCount() }
+// gatewayCount returns how many gateways share the retry budgets of the services.
+func (g *Gateway) gatewayCount() int { return g.engines.gossip.GatewayCount() }
 
-// allowExtra reports whether a service bears one more send beyond the first.
-func (g *Gateway) allowExtra(service string, now time.Time) bool {
+// allowRetry reports whether the retry budget of a service allows one more retry,
+// and spends it if so.
+func (g *Gateway) allowRetry(service string, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.sendsOf(service).Allow(now, g.entries())
+	return g.retryBudget(service).Allow(now, g.gatewayCount())
 }
 
 func (g *Gateway) countRequest(service string, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.sendsOf(service).CountRequest(now)
+	g.retryBudget(service).CountRequest(now)
 }
 
-func (g *Gateway) sendsOf(service string) *retry.AttemptLimiter {
-	s, ok := g.sends[service]
+func (g *Gateway) retryBudget(service string) *retry.AttemptLimiter {
+	limiter, ok := g.retryBudgets[service]
 	if !ok {
 		b := g.deployment.Load().Bounds
-		s = retry.NewAttemptLimiter(retry.AttemptLimit{
-			Share:  b.RetryShare * budgetPart,
-			Slack:  b.RetrySlack * budgetPart,
+		limiter = retry.NewAttemptLimiter(retry.AttemptLimit{
+			Share:  b.RetryShare * retryBudgetFraction,
+			Slack:  b.RetrySlack * retryBudgetFraction,
 			Window: b.RetryWindow,
 		})
-		g.sends[service] = s
+		g.retryBudgets[service] = limiter
 	}
-	return s
+	return limiter
 }
 
-// budgetPart of the operators' bound on repeated sends is used: the entries'
-// windows and the operators' do not begin together.
-const budgetPart = 0.6
+// retryBudgetFraction is the fraction of the operators' limit on retries that is
+// used. The rest is a margin because the gateways' windows do not begin together
+// with the operators'.
+const retryBudgetFraction = 0.6
 
-// bodyBudget bounds bytes that are held at once.
+// bodyBudget limits the number of bytes that are reserved at a time.
 type bodyBudget struct {
-	limit int64
-	held  atomic.Int64
+	limit    int64
+	reserved atomic.Int64
 }
 
-// take reports whether n more bytes fit, and holds them if so.
-func (b *bodyBudget) take(n int64) bool {
-	if b.held.Add(n) > b.limit {
-		b.held.Add(-n)
+// acquire reserves n bytes. It returns false, and reserves nothing, if that would
+// exceed the limit.
+func (b *bodyBudget) acquire(n int64) bool {
+	if b.reserved.Add(n) > b.limit {
+		b.reserved.Add(-n)
 		return false
 	}
 	return true
 }
 
-func (b *bodyBudget) release(n int64) { b.held.Add(-n) }
+func (b *bodyBudget) release(n int64) { b.reserved.Add(-n) }
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -20,25 +20,25 @@
 )
 
 const (
-	// unknownRetry is when a caller may come back while this process knows no
-	// configuration, or cannot tell whether a route exists.
-	unknownRetry = 300 * time.Millisecond
-	// longestUnknownRetry is when a caller may come back at the latest while the store
-	// answers nobody.
-	longestUnknownRetry = 2 * time.Second
-	// defaultConfigApply is how long a confirmed configuration may take to be in
-	// force where the operators name no bound.
-	defaultConfigApply = 2 * time.Second
-	// defaultPatience is for callers that do not say how long they wait.
-	defaultPatience = 30 * time.Second
-	// bodyChunk is how much of a body of unknown length is accounted for at once.
+	// defaultRetryAfter is the Retry-After of rejections that name no other, such
+	// as while the configuration, or whether a route exists, is unknown.
+	defaultRetryAfter = 300 * time.Millisecond
+	// maxUnconfiguredRetryAfter is the upper limit of Retry-After while no gateway
+	// can reach the store.
+	maxUnconfiguredRetryAfter = 2 * time.Second
+	// defaultConfigApplyTime is how long a confirmed configuration may take to
+	// become active, unless the deployment sets a limit.
+	defaultConfigApplyTime = 2 * time.Second
+	// defaultTimeout applies to requests that state no timeout.
+	defaultTimeout = 30 * time.Second
+	// bodyChunk is the unit in which memory for a request body is reserved.
 	bodyChunk = 64 << 10
-	// fieldOverhead is what separates a field's name and value, and ends it.
-	fieldOverhead = 4
-	// answerSlack is how long after its deadline a caller may still take an
-	// answer.
-	answerSlack = time.Second
-	// defaultBodyLimit holds until a configuration names one.
+	// headerFieldOverhead is the size of the separator and line end of a header field.
+	headerFieldOverhead = 4
+	// responseWriteSlack is how long after its deadline a request's response may
+	// still be written.
+	responseWriteSlack = time.Second
+	// defaultBodyLimit applies if the configuration sets no limit.
 	defaultBodyLimit = 4 << 20
 )
 
@@ -49,164 +49,165 @@
 	if g.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	defer c.logEnd()
-	defer func() { g.bodies.release(c.bodyHeld) }()
-	if !c.admit(r) {
+	defer c.logRequest()
+	defer func() { g.bodies.release(c.reservedBodyBytes) }()
+	if !c.prepare(r) {
 		return
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), c.deadline)
 	defer cancel()
 	c.ctx = ctx
-	c.caller = r.Context()
+	c.callerCtx = r.Context()
 	c.run()
 }
 
-// call is one caller's request on its way.
+// call is the state of one caller's request while it is handled.
 type call struct {
 	gateway *Gateway
 	writer  http.ResponseWriter
-	// ctx ends at the deadline, caller when the caller leaves.
-	ctx, caller context.Context
+	// ctx is done at the deadline, callerCtx when the caller disconnects.
+	ctx, callerCtx context.Context
 
-	id       string
-	received time.Time
-	deadline time.Time
-	view     *directory.View
-	route    routes.Route
-	service  routes.Service
-	request  request.Request
-	bodyHeld int64
-	// identity is the request's fingerprint, 0 before it is needed, and standing what
-	// was last known of servers that ended under it.
-	identity request.Fingerprint
-	standing quarantine.Status
-	// sentAt is when it was last sent to a server.
-	sentAt time.Time
+	id                string
+	received          time.Time
+	deadline          time.Time
+	view              *directory.View
+	route             routes.Route
+	service           routes.Service
+	request           request.Request
+	reservedBodyBytes int64
+	// cachedFingerprint is the request's fingerprint, 0 until it is first needed.
+	cachedFingerprint request.Fingerprint
+	// quarantineStatus is the last known state of server terminations while the
+	// request ran.
+	quarantineStatus quarantine.Status
+	// lastSentAt is when the request was last sent to a server.
+	lastSentAt time.Time
 
-	// verdict is the worst of all sends.
-	verdict verdict.Verdict
-	sends   int
-	// prefills counts the sends that only had the prompt read.
-	prefills int
-	// exhausted says that the service's budget for repeated sends is used up.
-	exhausted bool
-	// ran counts the backend servers that may have run the request.
-	ran int
-	// started says that the head of the answer is out; lastEvent is the last
-	// event that the caller has.
-	started   bool
-	lastEvent string
-	// priority orders the request at engines.
+	// verdict is the worst verdict of all attempts.
+	verdict  verdict.Verdict
+	attempts int
+	// prefillAttempts counts the attempts that requested only a prefill.
+	prefillAttempts int
+	// retryBudgetSpent is set once the service's retry budget is exhausted.
+	retryBudgetSpent bool
+	// possibleRuns counts the attempts whose server ran, or may have run, the request.
+	possibleRuns int
+	// headSent is set once the head of the response has been sent; lastEventID is
+	// the ID of the last stream event sent to the caller.
+	headSent    bool
+	lastEventID string
+	// priority is the request's priority in engines' queues.
 	priority int
-	// refusedBy are servers that are not tried again.
-	refusedBy map[string]bool
-	// limitedBy are servers whose own limits kept the request from them.
+	// excludedServers are not tried again for this request.
+	excludedServers map[string]bool
+	// limitedBy are the servers that were skipped because of the limits they announce.
 	limitedBy map[string]bool
 
 	trace trace
 }
 
-// admit decodes and checks the request. It answers itself and returns false if
-// the request cannot go on.
-func (c *call) admit(r *http.Request) bool {
+// prepare parses and validates the request. If the request cannot be served, it
+// sends an error response and returns false.
+func (c *call) prepare(r *http.Request) bool {
 	g := c.gateway
 	c.view = g.directory.View()
 	if c.view.Table == nil {
-		c.refuse(http.StatusServiceUnavailable, verdict.NewRejection(verdict.CodeStoreUnavailable, "no configuration yet", c.unconfiguredRetry(r)))
+		c.respondError(http.StatusServiceUnavailable, verdict.NewRejection(verdict.CodeStoreUnavailable, "no configuration yet", c.unconfiguredRetryAfter(r)))
 		return false
 	}
 	route, ok := c.view.Table.Match(r.Host, pathOf(r.RequestURI))
 	if !ok {
-		c.unknownRoute()
+		c.rejectUnknownRoute()
 		return false
 	}
 	c.route = route
 	req, err := g.dialect.ParseRequest(r, c.received)
 	if err != nil {
-		c.refuse(http.StatusBadRequest, verdict.New(verdict.NotRun, verdict.CodeBadRequest, err.Error()))
+		c.respondError(http.StatusBadRequest, verdict.New(verdict.NotRun, verdict.CodeBadRequest, err.Error()))
 		return false
 	}
 	c.request = req
-	c.deadline = c.received.Add(c.patience())
-	if !c.headFits(r) || !c.setDeadlines() || !c.readBody(r) {
+	c.deadline = c.received.Add(c.timeout())
+	if !c.checkHeadSize(r) || !c.setIODeadlines() || !c.readBody(r) {
 		return false
 	}
 	c.chooseService()
 	return true
 }
 
-// unconfiguredRetry is when the caller may come back to a gateway that knows no
-// configuration. While the store answers no gateway, that is as late as the caller
-// would: such an outage lasts for seconds, and a caller who returns within it is
-// refused for good.
-func (c *call) unconfiguredRetry(r *http.Request) time.Duration {
+// unconfiguredRetryAfter returns the Retry-After while this gateway has no
+// configuration. While no gateway can reach the store, it is as late as the caller
+// would still retry: such an outage lasts for seconds, and a caller that retries
+// within it is rejected for good.
+func (c *call) unconfiguredRetryAfter(r *http.Request) time.Duration {
 	if c.view.TableTold > 0 || !c.gateway.directory.StoreLost() {
-		return unknownRetry
+		return defaultRetryAfter
 	}
 	req, err := c.gateway.dialect.ParseRequest(r, c.received)
 	if err != nil {
-		return unknownRetry
+		return defaultRetryAfter
 	}
 	c.request = req
-	return min(max(unknownRetry, place.MaxRetryAfter(c.patience())), longestUnknownRetry)
+	return min(max(defaultRetryAfter, place.MaxRetryAfter(c.timeout())), maxUnconfiguredRetryAfter)
 }
 
-// unknownRoute answers a request that no route takes. If the store has not
-// confirmed the configuration within the operators' bound, or another gateway has a
-// newer one, the route may have been added since: a caller who is told that there is
-// none does not ask again, and one who is refused finds it a moment later.
-func (c *call) unknownRoute() {
-	if !c.view.Current(c.received, c.gateway.configApply()) {
-		c.refuse(http.StatusServiceUnavailable, verdict.NewRejection(verdict.CodeStoreUnavailable, "no such route in a configuration that may be old", unknownRetry))
+// rejectUnknownRoute responds to a request that matches no route. If the store has
+// not confirmed the configuration within configApplyTime, or another gateway has a
+// newer one, the route may have been added since. The response is then a 503, which
+// callers retry, instead of a 404, which they do not.
+func (c *call) rejectUnknownRoute() {
+	if !c.view.Current(c.received, c.gateway.configApplyTime()) {
+		c.respondError(http.StatusServiceUnavailable, verdict.NewRejection(verdict.CodeStoreUnavailable, "no such route in a configuration that may be old", defaultRetryAfter))
 		return
 	}
-	c.refuse(http.StatusNotFound, verdict.New(verdict.NotRun, verdict.CodeUnknownService, "no such route"))
+	c.respondError(http.StatusNotFound, verdict.New(verdict.NotRun, verdict.CodeUnknownService, "no such route"))
 }
 
-// configApply is how long after its confirmation a configuration must be in force.
-func (g *Gateway) configApply() time.Duration {
+// configApplyTime returns how long a confirmed configuration may take to become active.
+func (g *Gateway) configApplyTime() time.Duration {
 	if bound := g.deployment.Load().Bounds.ConfigApply; bound > 0 {
 		return bound
 	}
-	return defaultConfigApply
+	return defaultConfigApplyTime
 }
 
-// patience is how long the caller may be kept waiting.
-func (c *call) patience() time.Duration {
-	p := c.request.Timeout
-	if p <= 0 {
-		p = defaultPatience
+// timeout returns how long the caller may be kept waiting.
+func (c *call) timeout() time.Duration {
+	timeout := c.request.Timeout
+	if timeout <= 0 {
+		timeout = defaultTimeout
 	}
 	if c.route.Timeout > 0 {
-		p = min(p, c.route.Timeout)
+		timeout = min(timeout, c.route.Timeout)
 	}
-	return p
+	return timeout
 }
 
-// headFits checks the head against the configuration's limit.
-func (c *call) headFits(r *http.Request) bool {
+// checkHeadSize checks the request's head against the configured size limit.
+func (c *call) checkHeadSize(r *http.Request) bool {
 	limit := c.view.Table.Limits.HeaderBytes
 	size := len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
 		for _, value := range values {
-			size += len(name) + len(value) + fieldOverhead
+			size += len(name) + len(value) + headerFieldOverhead
 		}
 	}
 	if limit > 0 && size > limit {
-		c.refuse(http.StatusRequestHeaderFieldsTooLarge, verdict.New(verdict.NotRun, verdict.CodeTooLarge, "head over the limit"))
+		c.respondError(http.StatusRequestHeaderFieldsTooLarge, verdict.New(verdict.NotRun, verdict.CodeTooLarge, "head over the limit"))
 		return false
 	}
 	return true
 }
 
-// setDeadlines bounds how long a caller that neither sends nor reads holds
-// memory and a connection here.
-func (c *call) setDeadlines() bool {
+// setIODeadlines limits how long a caller that neither sends nor reads can occupy
+// memory and a connection.
+func (c *call) setIODeadlines() bool {
 	control := http.NewResponseController(c.writer)
 	read := control.SetReadDeadline(c.deadline)
-	write := control.SetWriteDeadline(c.deadline.Add(answerSlack))
+	write := control.SetWriteDeadline(c.deadline.Add(responseWriteSlack))
 	if err := errors.Join(read, write); err != nil {
-		c.refuse(http.StatusServiceUnavailable, verdict.NewRejection(verdict.CodeInternal, err.Error(), unknownRetry))
+		c.respondError(http.StatusServiceUnavailable, verdict.NewRejection(verdict.CodeInternal, err.Error(), defaultRetryAfter))
 		return false
 	}
 	return true
@@ -222,19 +223,19 @@
 	c.gateway.countRequest(name, c.received)
 }
 
-// readBody reads the body within the configuration's limit and this process's
-// memory.
+// readBody reads the body within the configured size limit and the memory limit
+// for bodies.
 func (c *call) readBody(r *http.Request) bool {
 	limit := c.view.Table.Limits.BodyBytes
 	if limit <= 0 {
 		limit = defaultBodyLimit
 	}
 	if r.ContentLength > limit {
-		c.refuse(http.StatusRequestEntityTooLarge, verdict.New(verdict.NotRun, verdict.CodeTooLarge, "body over the limit"))
+		c.respondError(http.StatusRequestEntityTooLarge, verdict.New(verdict.NotRun, verdict.CodeTooLarge, "body over the limit"))
 		return false
 	}
 	if r.ContentLength == 0 {
-		return c.endRead()
+		return c.clearReadDeadline()
 	}
 	var buf bytes.Buffer
 	if r.ContentLength > 0 {
@@ -242,8 +243,8 @@
 	}
 	reader := io.LimitReader(r.Body, limit+1)
 	for {
-		if !c.hold(bodyChunk) {
-			c.refuse(http.StatusServiceUnavailable, verdict.NewRejection(verdict.CodeOverloaded, "out of memory for bodies", unknownRetry))
+		if !c.reserveBody(bodyChunk) {
+			c.respondError(http.StatusServiceUnavailable, verdict.NewRejection(verdict.CodeOverloaded, "out of memory for bodies", defaultRetryAfter))
 			return false
 		}
 		_, err := io.CopyN(&buf, reader, bodyChunk)
@@ -251,61 +252,63 @@
 			break
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			c.refuse(http.StatusRequestTimeout, verdict.New(verdict.NotRun, verdict.CodeSlowBody, "the body did not come in time"))
+			c.respondError(http.StatusRequestTimeout, verdict.New(verdict.NotRun, verdict.CodeSlowBody, "the body did not come in time"))
 			return false
 		}
 		if err != nil {
-			c.refuse(http.StatusBadRequest, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "body not read: "+err.Error()))
+			c.respondError(http.StatusBadRequest, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "body not read: "+err.Error()))
 			return false
 		}
 	}
 	if int64(buf.Len()) > limit {
-		c.refuse(http.StatusRequestEntityTooLarge, verdict.New(verdict.NotRun, verdict.CodeTooLarge, "body over the limit"))
+		c.respondError(http.StatusRequestEntityTooLarge, verdict.New(verdict.NotRun, verdict.CodeTooLarge, "body over the limit"))
 		return false
 	}
 	c.request.Body = buf.Bytes()
-	return c.endRead()
+	return c.clearReadDeadline()
 }
 
-// endRead takes the read deadline off: from now on a read that ends means that
-// the caller has left.
-func (c *call) endRead() bool {
+// clearReadDeadline removes the read deadline, so that from here on a failed read
+// means that the caller has disconnected.
+func (c *call) clearReadDeadline() bool {
 	if err := http.NewResponseController(c.writer).SetReadDeadline(time.Time{}); err != nil {
-		c.refuse(http.StatusServiceUnavailable, verdict.NewRejection(verdict.CodeInternal, err.Error(), unknownRetry))
+		c.respondError(http.StatusServiceUnavailable, verdict.NewRejection(verdict.CodeInternal, err.Error(), defaultRetryAfter))
 		return false
 	}
 	return true
 }
 
-// hold accounts for n more bytes of the body.
-func (c *call) hold(n int64) bool {
-	if !c.gateway.bodies.take(n) {
-		c.gateway.bodies.release(c.bodyHeld)
-		c.bodyHeld = 0
+// reserveBody reserves memory for n more bytes of the body. If that fails, it
+// releases all memory reserved for the body.
+func (c *call) reserveBody(n int64) bool {
+	if !c.gateway.bodies.acquire(n) {
+		c.gateway.bodies.release(c.reservedBodyBytes)
+		c.reservedBodyBytes = 0
 		return false
 	}
-	c.bodyHeld += n
+	c.reservedBodyBytes += n
 	return true
 }
 
-// left is the time until the deadline.
-func (c *call) left() time.Duration { return time.Until(c.deadline) }
+// remaining returns the time until the deadline.
+func (c *call) remaining() time.Duration { return time.Until(c.deadline) }
 
-// run sends the request on its way by what its service is.
+// run serves a prepared request, unless it is quarantined.
 func (c *call) run() {
-	if refused := c.examine(); refused != nil {
-		c.fail(refused)
+	if rejection := c.checkQuarantine(); rejection != nil {
+		c.fail(rejection)
 		return
 	}
-	if c.standing.Suspected() {
-		c.runSuspect()
+	if c.quarantineStatus.Suspected() {
+		c.runSuspected()
 	} else {
-		c.runAnywhere()
+		c.dispatch()
 	}
-	c.clear()
+	c.clearSuspicion()
 }
 
-func (c *call) runAnywhere() {
+// dispatch serves the request by the kind of its service.
+func (c *call) dispatch() {
 	if c.route.Model && c.service.Engine != nil {
 		c.runModel()
 		return
@@ -321,7 +324,7 @@
 	if strings.HasPrefix(target, "/") {
 		return target
 	}
-	// An absolute target names the host once more.
+	// The target is in absolute form, with scheme and host.
 	if i := strings.Index(target, "://"); i >= 0 {
 		if j := strings.IndexByte(target[i+3:], '/'); j >= 0 {
 			return target[i+3+j:]
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -7,8 +7,8 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// observe counts a request that has ended.
-func (g *Gateway) observe(c *call) {
+// recordMetrics updates the metrics for a finished request.
+func (g *Gateway) recordMetrics(c *call) {
 	metrics.GetOrRegisterCounter("gateway.requests.status_"+strconv.Itoa(c.trace.status), nil).Inc(1)
 	if c.trace.aborted {
 		metrics.GetOrRegisterCounter("gateway.requests.aborted", nil).Inc(1)
@@ -18,14 +18,14 @@
 	}
 	kind := c.route.Kind.String()
 	metrics.GetOrRegisterTimer("gateway.total."+kind, nil).Update(time.Since(c.received))
-	if c.trace.first > 0 {
-		metrics.GetOrRegisterTimer("gateway.first_byte."+kind, nil).Update(c.trace.first)
+	if c.trace.firstByte > 0 {
+		metrics.GetOrRegisterTimer("gateway.first_byte."+kind, nil).Update(c.trace.firstByte)
 	}
-	if expected := c.trace.plan.ExpectedTTFT(); expected > 0 && c.trace.first > 0 {
-		off := c.trace.first - c.trace.placed - expected
-		metrics.GetOrRegisterTimer("gateway.expected_off."+kind, nil).Update(max(off, -off))
+	if expected := c.trace.plan.ExpectedTTFT(); expected > 0 && c.trace.firstByte > 0 {
+		deviation := c.trace.firstByte - c.trace.plannedAfter - expected
+		metrics.GetOrRegisterTimer("gateway.expected_off."+kind, nil).Update(max(deviation, -deviation))
 	}
-	if c.standing.Quarantined {
+	if c.quarantineStatus.Quarantined {
 		metrics.GetOrRegisterCounter("gateway.requests_quarantined", nil).Inc(1)
 	}
 	if len(c.limitedBy) > 0 {
@@ -34,7 +34,7 @@
 	if c.trace.bySize {
 		metrics.GetOrRegisterCounter("gateway.admitted_by_size", nil).Inc(1)
 	}
-	if c.sends > 1 {
-		metrics.GetOrRegisterCounter("gateway.repeated_sends", nil).Inc(int64(c.sends - 1))
+	if c.attempts > 1 {
+		metrics.GetOrRegisterCounter("gateway.repeated_sends", nil).Inc(int64(c.attempts - 1))
 	}
 }
--- a/internal/gateway/model.go
+++ b/internal/gateway/model.go
@@ -17,13 +17,14 @@
 )
 
 const (
-	// maxPrefilled bounds the answer to a PrefillOnly send.
-	maxPrefilled = 64 << 10
-	// freeTimeout bounds the call that frees KV cache that is not used.
-	freeTimeout = 500 * time.Millisecond
+	// maxPrefillResponse limits the size of the response to a PrefillOnly request.
+	maxPrefillResponse = 64 << 10
+	// freeKVTimeout limits the request that frees unused KV cache.
+	freeKVTimeout = 500 * time.Millisecond
 )
 
-// runModel sends a prompt to model engines.
+// runModel serves a request to a service of model engines. It chooses engines for
+// each attempt.
 func (c *call) runModel() {
 	g := c.gateway
 	job := place.Job{
@@ -34,18 +35,18 @@
 		Exclude:    c.excluded,
 	}
 	var last *verdict.Error
-	for first := true; first || c.mayRepeat(); first = false {
+	for first := true; first || c.mayRetry(); first = false {
 		now := time.Now()
-		job.Suspect = c.standing.Suspected()
+		job.Suspect = c.quarantineStatus.Suspected()
 		job.Prompt.DeliveredEvents = c.request.Prompt.DeliveredEvents + c.trace.events
-		plan, admission, ok := g.engines.place(now, c.service.Name, job, c.urgency(now))
+		plan, admission, ok := g.engines.place(now, c.service.Name, job, c.constraints(now))
 		if !ok {
 			if last == nil {
-				last = c.noServer("no engine")
+				last = c.noServerError("no engine")
 			}
 			break
 		}
-		c.trace.plan, c.trace.placed = plan, now.Sub(c.received)
+		c.trace.plan, c.trace.plannedAfter = plan, now.Sub(c.received)
 		if !admission.Admit {
 			last = verdict.NewRejection(verdict.CodeOverloaded, "the answer would come too late", admission.RetryAfter)
 			break
@@ -57,229 +58,232 @@
 		}
 		last = err
 	}
-	if c.started {
+	if c.headSent {
 		c.abort(last.Message)
 	}
 	c.fail(last)
 }
 
-// urgency is what the caller still expects.
-func (c *call) urgency(now time.Time) place.Constraints {
-	left := c.deadline.Sub(now)
-	if c.started || c.verdict != verdict.NotRun {
-		// To refuse the rest of a stream would waste what was generated, and a
-		// request that may have run can only be failed, not refused.
-		return place.Constraints{Objective: left, Remaining: left, Committed: true}
+// constraints returns the time limits of the next attempt.
+func (c *call) constraints(now time.Time) place.Constraints {
+	remaining := c.deadline.Sub(now)
+	if c.headSent || c.verdict != verdict.NotRun {
+		// Rejecting the rest of a stream would waste what has been generated, and a
+		// request that may have run can only fail, not be rejected.
+		return place.Constraints{Objective: remaining, Remaining: remaining, Committed: true}
 	}
 	if c.request.Prompt.DeliveredEvents > 0 {
-		// The caller has the first event, and waits for the last one.
-		return place.Constraints{Objective: left, Remaining: left}
+		// The caller resumes a stream: it has the first event, so that only the
+		// deadline of the last one matters.
+		return place.Constraints{Objective: remaining, Remaining: remaining}
 	}
-	return place.Constraints{Objective: c.received.Add(c.route.LatencyObjective).Sub(now), Remaining: left}
+	return place.Constraints{Objective: c.received.Add(c.route.LatencyObjective).Sub(now), Remaining: remaining}
 }
 
-// runPlan runs the request as planned. It returns nil once it has answered.
+// runPlan runs the request at the planned engines. It returns nil if the response has
+// been forwarded.
 func (c *call) runPlan(plan place.Plan, job place.Job) *verdict.Error {
-	defer c.gateway.engines.ended(c.service.Name, job.ID)
+	defer c.gateway.engines.finished(c.service.Name, job.ID)
 	if plan.Split() {
 		return c.runSplit(plan, job)
 	}
-	decoder, ok := serverByID(c.gateway.directory.View(), plan.DecodeEngine)
+	decodeEngine, ok := serverByID(c.gateway.directory.View(), plan.DecodeEngine)
 	if !ok {
-		return c.lostServer(plan.DecodeEngine)
+		return c.engineGone(plan.DecodeEngine)
 	}
-	return c.generate(decoder, request.Options{Priority: c.priority}, job.ID)
+	return c.generate(decodeEngine, request.Options{Priority: c.priority}, job.ID)
 }
 
-// runSplit has one engine read the prompt and another generate the answer.
+// runSplit has one engine prefill the prompt and another generate the answer.
 func (c *call) runSplit(plan place.Plan, job place.Job) *verdict.Error {
 	g := c.gateway
-	reader, ok := serverByID(g.directory.View(), plan.PrefillEngine)
+	prefillEngine, ok := serverByID(g.directory.View(), plan.PrefillEngine)
 	if !ok {
-		return c.lostServer(plan.PrefillEngine)
+		return c.engineGone(plan.PrefillEngine)
 	}
 	began := time.Now()
-	handle, err := c.prefill(reader)
+	handle, err := c.prefill(prefillEngine)
 	c.trace.prefill = time.Since(began)
 	if err != nil {
 		return err
 	}
-	g.engines.readDone(c.service.Name, job.ID)
+	g.engines.prefillDone(c.service.Name, job.ID)
 	options := request.Options{
 		Priority: place.DecodePriority,
-		KVSource: g.dialect.KVSource(reader.Address, handle),
+		KVSource: g.dialect.KVSource(prefillEngine.Address, handle),
 	}
-	failed := c.generateAnywhere(plan, job, options)
+	failed := c.generateWithFallback(plan, job, options)
 	if failed != nil && failed.Verdict == verdict.NotRun {
-		go g.freeHandle(reader, handle)
+		go g.freeKV(prefillEngine, handle)
 	}
 	return failed
 }
 
-// generateAnywhere has the answer generated by the planned engine or, if that
-// one refuses, by others: the prompt has been read and need not be read again.
-func (c *call) generateAnywhere(plan place.Plan, job place.Job, o request.Options) *verdict.Error {
+// generateWithFallback generates the answer at the planned decode engine or, if that
+// one rejects the request, at others. They use the same prefilled KV cache.
+func (c *call) generateWithFallback(plan place.Plan, job place.Job, o request.Options) *verdict.Error {
 	g := c.gateway
 	for {
 		var failed *verdict.Error
-		decoder, ok := serverByID(g.directory.View(), plan.DecodeEngine)
+		decodeEngine, ok := serverByID(g.directory.View(), plan.DecodeEngine)
 		if ok {
-			failed = c.generate(decoder, o, job.ID)
+			failed = c.generate(decodeEngine, o, job.ID)
 		} else {
-			failed = c.lostServer(plan.DecodeEngine)
+			failed = c.engineGone(plan.DecodeEngine)
 		}
-		if failed == nil || c.verdict != verdict.NotRun || !c.mayRepeat() {
+		if failed == nil || c.verdict != verdict.NotRun || !c.mayRetry() {
 			return failed
 		}
 		now := time.Now()
-		if plan, ok = g.engines.otherDecoder(now, c.service.Name, job, c.urgency(now), plan); !ok {
+		if plan, ok = g.engines.reassignDecoder(now, c.service.Name, job, c.constraints(now), plan); !ok {
 			return failed
 		}
 	}
 }
 
-// lostServer is the outcome of a plan whose server has left since.
-func (c *call) lostServer(id string) *verdict.Error {
-	c.note(backend.Server{ID: id}, verdict.NotRun)
-	return verdict.NewRejection(verdict.CodeNoBackend, "the engine has left", leastRetry)
+// engineGone returns the error of a plan whose engine has left or is draining.
+func (c *call) engineGone(id string) *verdict.Error {
+	c.recordFailure(backend.Server{ID: id}, verdict.NotRun)
+	return verdict.NewRejection(verdict.CodeNoBackend, "the engine has left", minRetryAfter)
 }
 
-// prefill has a prompt read and returns the handle of its KV cache. It does not
-// run the request, whatever its outcome.
-func (c *call) prefill(reader backend.Server) (string, *verdict.Error) {
+// prefill has an engine prefill the prompt and returns the handle of its KV cache.
+// Whatever the outcome, the request itself has not run.
+func (c *call) prefill(prefillEngine backend.Server) (string, *verdict.Error) {
 	g := c.gateway
-	if c.prefills > 0 && !c.spendExtra() {
-		return "", c.overBudget()
+	if c.prefillAttempts > 0 && !c.spendRetry() {
+		return "", c.retryBudgetError()
 	}
-	c.prefills++
-	c.sentAt = time.Now()
-	o := request.Options{Server: reader, Remaining: c.left(), Stage: request.PrefillOnly, Priority: c.priority}
+	c.prefillAttempts++
+	c.lastSentAt = time.Now()
+	o := request.Options{Server: prefillEngine, Remaining: c.remaining(), Stage: request.PrefillOnly, Priority: c.priority}
 	reply, err := g.transport.Send(c.ctx, &c.request, o)
 	if err != nil {
-		g.engines.avoid(c.service.Name, reader.ID, suspectFor)
+		g.engines.avoid(c.service.Name, prefillEngine.ID, failureAvoidTime)
 		if verdict.Of(err).Verdict != verdict.NotRun {
-			c.runBroke(reader)
+			c.reportBrokenConnection(prefillEngine)
 		}
-		return "", c.prefillFailed(reader, err.Error())
+		return "", c.prefillFailed(prefillEngine, err.Error())
 	}
-	body, err := reply.ReadAll(maxPrefilled)
+	body, err := reply.ReadAll(maxPrefillResponse)
 	if err != nil {
-		return "", c.prefillFailed(reader, "answer broke off: "+err.Error())
+		return "", c.prefillFailed(prefillEngine, "answer broke off: "+err.Error())
 	}
 	if reply.Status != http.StatusOK {
-		g.engines.refused(c.service.Name, reader.ID, refusedFor)
-		return "", c.prefillFailed(reader, http.StatusText(reply.Status))
+		g.engines.avoidEverywhere(c.service.Name, prefillEngine.ID, rejectionAvoidTime)
+		return "", c.prefillFailed(prefillEngine, http.StatusText(reply.Status))
 	}
 	p, err := g.dialect.ParsePrefilled(body)
 	if err != nil {
-		return "", c.prefillFailed(reader, err.Error())
+		return "", c.prefillFailed(prefillEngine, err.Error())
 	}
 	return p.Handle, nil
 }
 
-func (c *call) prefillFailed(reader backend.Server, why string) *verdict.Error {
-	c.note(reader, verdict.NotRun)
-	return verdict.NewRejection(verdict.CodeOverloaded, "prefill at "+reader.ID+": "+why, leastRetry)
+func (c *call) prefillFailed(prefillEngine backend.Server, why string) *verdict.Error {
+	c.recordFailure(prefillEngine, verdict.NotRun)
+	return verdict.NewRejection(verdict.CodeOverloaded, "prefill at "+prefillEngine.ID+": "+why, minRetryAfter)
 }
 
-// generate has the answer generated and passes it on.
-func (c *call) generate(decoder backend.Server, o request.Options, id place.JobID) *verdict.Error {
+// generate has an engine generate the answer and forwards it.
+func (c *call) generate(decodeEngine backend.Server, o request.Options, id place.JobID) *verdict.Error {
 	g := c.gateway
-	o.ResumeAfter = c.lastEvent
-	ctx, giveUp := context.WithCancel(c.ctx)
-	defer giveUp()
-	silence := c.watchSilence(giveUp)
-	defer silence.end()
-	reply, err := c.send(ctx, decoder, o)
+	o.ResumeAfter = c.lastEventID
+	ctx, cancel := context.WithCancel(c.ctx)
+	defer cancel()
+	stall := c.watchStall(cancel)
+	defer stall.stop()
+	reply, err := c.send(ctx, decodeEngine, o)
 	if err != nil {
-		c.blame(decoder, o, err)
+		c.avoidFailed(decodeEngine, o, err)
 		return err
 	}
 	defer reply.Body.Close()
-	if c.started && !continues(reply) {
-		c.exclude(decoder)
-		return verdict.New(verdict.MayHaveRun, verdict.CodeBackendFailed, "the answer does not go on with the stream: "+http.StatusText(reply.Status))
+	if c.headSent && !continuesStream(reply) {
+		c.exclude(decodeEngine)
+		return verdict.New(verdict.MayHaveRun, verdict.CodeBackendFailed, "response does not continue the stream: "+http.StatusText(reply.Status))
 	}
-	if !c.started {
-		c.head(reply)
-		c.started = true
+	if !c.headSent {
+		c.writeHead(reply)
+		c.headSent = true
 	}
-	silence.body = reply.Body
-	watch := &streamWatch{
-		Reader: silence,
-		first:  func() { g.engines.firstToken(c.service.Name, id) },
-		next:   func(gap time.Duration) { g.engines.event(c.service.Name, id, gap) },
+	stall.body = reply.Body
+	sampler := &streamSampler{
+		Reader:     stall,
+		onFirst:    func() { g.engines.firstToken(c.service.Name, id) },
+		onInterval: func(interval time.Duration) { g.engines.interEventTime(c.service.Name, id, interval) },
 	}
-	defer func() { c.trace.events += watch.events }()
-	failed := c.passStream(decoder, watch)
+	defer func() { c.trace.events += sampler.events }()
+	failed := c.copyStream(decodeEngine, sampler)
 	if failed == nil {
-		events := c.request.Prompt.DeliveredEvents + c.trace.events + watch.events
-		g.engines.answered(c.service.Name, c.request.Prompt.ExpectedOutputTokens, events)
+		events := c.request.Prompt.DeliveredEvents + c.trace.events + sampler.events
+		g.engines.completed(c.service.Name, c.request.Prompt.ExpectedOutputTokens, events)
 	}
 	return failed
 }
 
-// eventStream is the content type of a series of events.
-const eventStream = "text/event-stream"
+// eventStreamType is the content type of server-sent events.
+const eventStreamType = "text/event-stream"
 
-// continues reports whether an answer can be the rest of a stream. Anything else
-// after the first events would be taken by the caller for a part of them.
-func continues(reply *direct.Reply) bool {
-	return reply.Status == http.StatusOK && strings.HasPrefix(reply.Header.Get("Content-Type"), eventStream)
+// continuesStream reports whether a response can be the rest of a stream. Anything
+// else after the first events would reach the caller as part of the stream.
+func continuesStream(reply *direct.Reply) bool {
+	return reply.Status == http.StatusOK && strings.HasPrefix(reply.Header.Get("Content-Type"), eventStreamType)
 }
 
-// passStream passes the events of one engine on. It returns an error only if
-// the stream may go on elsewhere; otherwise one that breaks off ends the
-// caller's connection.
-func (c *call) passStream(decoder backend.Server, source io.Reader) *verdict.Error {
+// copyStream forwards the events of one engine. It returns an error only if the
+// stream may be resumed at another engine; otherwise an interruption aborts the call.
+func (c *call) copyStream(decodeEngine backend.Server, source io.Reader) *verdict.Error {
 	if !c.route.Resumable {
-		if err := c.pass(source); err != nil {
-			c.runBroke(decoder)
-			c.abort("the answer broke off: " + err.Error())
+		if err := c.copyBody(source); err != nil {
+			c.reportBrokenConnection(decodeEngine)
+			c.abort("stream from the engine interrupted: " + err.Error())
 		}
 		return nil
 	}
-	events := &eventReader{source: source, lastID: c.lastEvent}
-	err := c.pass(events)
-	c.lastEvent = events.lastID
+	events := &eventReader{source: source, lastID: c.lastEventID}
+	err := c.copyBody(events)
+	c.lastEventID = events.lastID
 	if err == nil {
 		return nil
 	}
-	c.runBroke(decoder)
-	c.exclude(decoder)
-	return verdict.New(verdict.MayHaveRun, verdict.CodeAnswerBroken, "the answer broke off: "+err.Error())
+	c.reportBrokenConnection(decodeEngine)
+	c.exclude(decodeEngine)
+	return verdict.New(verdict.MayHaveRun, verdict.CodeAnswerBroken, "stream from the engine interrupted: "+err.Error())
 }
 
-// refusedFor is how long an engine is left alone after it refused work: long
-// enough for one try in a second and a gateway, short enough to see it back.
-const refusedFor = 700 * time.Millisecond
+// rejectionAvoidTime is how long an engine is avoided after it rejected a request:
+// long enough that each gateway makes about one attempt a second there, short enough
+// to notice when it accepts requests again.
+const rejectionAvoidTime = 700 * time.Millisecond
 
-// blame keeps an engine out after a failed attempt. A refusal to fetch KV cache
-// is as often the fault of the engine that has it, and keeps nobody out.
-func (c *call) blame(s backend.Server, o request.Options, err *verdict.Error) {
+// avoidFailed avoids an engine after a failed attempt. A rejection of a request with
+// KV cache to fetch is as often the fault of the engine that holds the cache. Only
+// this gateway then avoids the engine, for half the time.
+func (c *call) avoidFailed(s backend.Server, o request.Options, err *verdict.Error) {
 	engines := c.gateway.engines
 	switch {
-	case c.ctx.Err() != nil || c.exhausted:
+	case c.ctx.Err() != nil || c.retryBudgetSpent:
 	case err.Verdict != verdict.NotRun || err.Code == verdict.CodeNoBackend:
-		engines.avoid(c.service.Name, s.ID, suspectFor)
+		engines.avoid(c.service.Name, s.ID, failureAvoidTime)
 	case o.KVSource == "":
-		engines.refused(c.service.Name, s.ID, refusedFor)
+		engines.avoidEverywhere(c.service.Name, s.ID, rejectionAvoidTime)
 	default:
-		engines.avoid(c.service.Name, s.ID, refusedFor/2)
+		engines.avoid(c.service.Name, s.ID, rejectionAvoidTime/2)
 	}
 }
 
-// freeHandle frees KV cache that no engine took; it would occupy memory until
-// its time is over.
-func (g *Gateway) freeHandle(s backend.Server, handle string) {
-	ctx, cancel := context.WithTimeout(context.Background(), freeTimeout)
+// freeKV frees KV cache that no engine has fetched. Otherwise it would occupy memory
+// until the handle expires.
+func (g *Gateway) freeKV(s backend.Server, handle string) {
+	ctx, cancel := context.WithTimeout(context.Background(), freeKVTimeout)
 	defer cancel()
-	g.limits.take(s.ID)
+	g.limits.countSend(s.ID)
 	method, path := g.dialect.FreeHandle(handle)
 	r := request.Request{ID: handle, Method: method, Target: path, Host: s.Address, Header: http.Header{}}
-	reply, err := g.transport.Send(ctx, &r, request.Options{Server: s, Remaining: freeTimeout, Priority: request.DefaultPriority})
+	reply, err := g.transport.Send(ctx, &r, request.Options{Server: s, Remaining: freeKVTimeout, Priority: request.DefaultPriority})
 	if err != nil {
-		log.WithField("server", s.ID).WithField("error", err.Error()).Info("KV cache not freed")
+		log.WithField("server", s.ID).WithField("error", err.Error()).Info("free KV cache failed")
 		return
 	}
 	reply.Body.Close()
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -16,33 +16,37 @@
 )
 
 const (
-	// loadBelieved is how long a server's own word on its load counts.
-	loadBelieved = 400 * time.Millisecond
-	// suspectFor keeps a server that failed out of the choice, if there are
-	// others: long enough to spare most requests, short enough to see it back.
-	suspectFor = 1500 * time.Millisecond
-	// farPenalty is what another data centre weighs, in requests in flight: it
-	// adds a millisecond to work of tens of them.
-	farPenalty = 0.3
+	// loadMaxAge is how long the load that a server reports is used.
+	loadMaxAge = 400 * time.Millisecond
+	// failureAvoidTime is how long a failed server is avoided if there are others:
+	// long enough to spare most requests, short enough to notice its recovery.
+	failureAvoidTime = 1500 * time.Millisecond
+	// remotePenalty is added to the load of a server in another data centre, in
+	// requests in flight: the distance adds a millisecond to requests that take
+	// tens of milliseconds.
+	remotePenalty = 0.3
 )
 
-// plain balances requests over the servers of plain services.
-type plain struct {
-	limits  *limits
+// plainBalancer balances requests over the servers of plain services, which are
+// those without model engines.
+type plainBalancer struct {
+	limits  *serverLimits
 	mu      sync.Mutex
 	servers map[string]*plainServer
 }
 
 type plainServer struct {
-	inFlight     int
-	load         backend.Load
-	loadAt       time.Time
-	suspectUntil time.Time
+	inFlight   int
+	load       backend.Load
+	loadAt     time.Time
+	avoidUntil time.Time
 }
 
-func newPlain(l *limits) *plain { return &plain{limits: l, servers: make(map[string]*plainServer)} }
+func newPlainBalancer(l *serverLimits) *plainBalancer {
+	return &plainBalancer{limits: l, servers: make(map[string]*plainServer)}
+}
 
-func (p *plain) server(id string) *plainServer {
+func (p *plainBalancer) server(id string) *plainServer {
 	s, ok := p.servers[id]
 	if !ok {
 		s = &plainServer{}
@@ -51,64 +55,65 @@
 	return s
 }
 
-// forget drops the servers that are gone and work on nothing. Servers come and
-// go under new names for as long as the process runs.
-func (p *plain) forget(v *directory.View) {
+// prune removes servers that are gone and have no requests in flight. Without it,
+// the map would grow, because restarted servers get new names.
+func (p *plainBalancer) prune(v *directory.View) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	maps.DeleteFunc(p.servers, func(id string, s *plainServer) bool {
-		_, there := v.Servers[id]
-		return !there && s.inFlight == 0
+		_, exists := v.Servers[id]
+		return !exists && s.inFlight == 0
 	})
 }
 
-// choose returns the server with the least work, and counts a request there.
-func (p *plain) choose(now time.Time, servers []backend.Server, dataCentre string, exclude func(id string) bool) (backend.Server, bool) {
+// choose returns the eligible server with the lowest load and counts a request there.
+func (p *plainBalancer) choose(now time.Time, servers []backend.Server, dataCentre string, exclude func(id string) bool) (backend.Server, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var best backend.Server
-	least := -1.0
+	lowest := -1.0
 	for _, s := range servers {
 		if exclude(s.ID) {
 			continue
 		}
-		if w := p.server(s.ID).work(now, s, dataCentre); least < 0 || w < least {
-			best, least = s, w
+		if load := p.server(s.ID).loadPerSlot(now, s, dataCentre); lowest < 0 || load < lowest {
+			best, lowest = s, load
 		}
 	}
-	if least < 0 {
+	if lowest < 0 {
 		return backend.Server{}, false
 	}
 	p.server(best.ID).inFlight++
-	p.limits.take(best.ID)
+	p.limits.countSend(best.ID)
 	return best, true
 }
 
-// work is how busy a server is, in requests per slot.
-func (s *plainServer) work(now time.Time, b backend.Server, dataCentre string) float64 {
-	busy := float64(s.inFlight)
-	if now.Sub(s.loadAt) < loadBelieved {
-		// The server counts the requests of all entries.
-		busy = max(busy, float64(s.load.Running+s.load.Waiting))
+// loadPerSlot returns the load of a server in requests per slot, with penalties and a
+// random tie-breaker.
+func (s *plainServer) loadPerSlot(now time.Time, b backend.Server, dataCentre string) float64 {
+	load := float64(s.inFlight)
+	if now.Sub(s.loadAt) < loadMaxAge {
+		// The server's report includes the requests of all gateways.
+		load = max(load, float64(s.load.Running+s.load.Waiting))
 	}
 	if b.DataCentre != dataCentre {
-		busy += farPenalty
+		load += remotePenalty
 	}
-	if now.Before(s.suspectUntil) {
-		busy += suspectPenalty
+	if now.Before(s.avoidUntil) {
+		load += avoidPenalty
 	}
-	return (busy + rand.Float64()*tieBreak) / float64(max(1, b.Slots))
+	return (load + rand.Float64()*tieBreakJitter) / float64(max(1, b.Slots))
 }
 
 const (
-	// suspectPenalty is more than any load.
-	suspectPenalty = 1e6
-	// tieBreak spreads entries over servers that look alike.
-	tieBreak = 0.2
+	// avoidPenalty exceeds any load.
+	avoidPenalty = 1e6
+	// tieBreakJitter spreads the gateways over servers of equal load.
+	tieBreakJitter = 0.2
 )
 
-// done takes the outcome of a request.
-func (p *plain) done(id string, reply *direct.Reply, v verdict.Verdict) {
+// done records the outcome of a request at a server.
+func (p *plainBalancer) done(id string, reply *direct.Reply, v verdict.Verdict) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.server(id)
@@ -118,11 +123,11 @@
 		s.load, s.loadAt = reply.Load, now
 	}
 	if reply == nil && v != verdict.NotRun {
-		s.suspectUntil = now.Add(suspectFor)
+		s.avoidUntil = now.Add(failureAvoidTime)
 	}
 }
 
-// runPlain sends a request to a plain service.
+// runPlain serves a request to a plain service. It chooses a server for each attempt.
 func (c *call) runPlain() {
 	g := c.gateway
 	var last *verdict.Error
@@ -131,14 +136,13 @@
 		server, ok := g.plain.choose(time.Now(), servers, g.deployment.Load().DataCentre, c.excluded)
 		if !ok {
 			if last == nil {
-				last = c.noServer("no backend server")
+				last = c.noServerError("no backend server")
 			}
 			break
 		}
 		reply, err := c.send(c.ctx, server, request.Options{Priority: request.DefaultPriority})
-		if err == nil && reply.Status >= http.StatusInternalServerError && c.mayRepeat() {
-			// A failure of a server's own is worth another try where that does
-			// no harm.
+		if err == nil && reply.Status >= http.StatusInternalServerError && c.mayRetry() {
+			// The server itself failed: retry at another one where that is safe.
 			c.discard(reply, server)
 			last = verdict.New(verdict.Ran, verdict.CodeBackendFailed, "the backend server failed")
 			continue
@@ -149,30 +153,30 @@
 		}
 		g.plain.done(server.ID, nil, err.Verdict)
 		last = err
-		if !c.mayRepeat() {
+		if !c.mayRetry() {
 			break
 		}
 	}
 	c.fail(last)
 }
 
-// discard drops an answer that is tried again elsewhere.
+// discard drops a response because the request is retried at another server.
 func (c *call) discard(reply *direct.Reply, server backend.Server) {
 	c.gateway.plain.done(server.ID, reply, verdict.Ran)
 	c.exclude(server)
-	if _, err := io.Copy(io.Discard, io.LimitReader(reply.Body, copyBuffer)); err != nil {
-		c.trace.message = "a failed answer broke off: " + err.Error()
+	if _, err := io.Copy(io.Discard, io.LimitReader(reply.Body, copyBufferSize)); err != nil {
+		c.trace.message = "discard error response: " + err.Error()
 	}
 	reply.Body.Close()
 }
 
-// deliver passes an answer on.
+// deliver forwards a response to the caller.
 func (c *call) deliver(reply *direct.Reply, server backend.Server) {
 	defer reply.Body.Close()
 	defer c.gateway.plain.done(server.ID, reply, verdict.Ran)
-	c.head(reply)
-	if err := c.pass(reply.Body); err != nil {
-		c.runBroke(server)
-		c.abort("the answer broke off: " + err.Error())
+	c.writeHead(reply)
+	if err := c.copyBody(reply.Body); err != nil {
+		c.reportBrokenConnection(server)
+		c.abort("response from the backend server interrupted: " + err.Error())
 	}
 }
--- /dev/null
+++ b/internal/gateway/process/bootstrap.go
@@ -0,0 +1,105 @@
+package process
+
+import (
+	"context"
+	"encoding/json"
+	"io"
+	"net/http"
+	"net/netip"
+	"time"
+
+	"github.com/apex/log"
+	"github.com/rotisserie/eris"
+
+	"pistachioroad.dev/pistachioroad/internal/directory"
+	"pistachioroad.dev/pistachioroad/internal/pause"
+)
+
+const (
+	bootstrapPath = "/knowledge"
+	// bootstrapDelay is how long a new process waits for the store before it asks its
+	// peers, and bootstrapInterval how often it asks while neither responds.
+	bootstrapDelay    = 400 * time.Millisecond
+	bootstrapInterval = 300 * time.Millisecond
+	// bootstrapTimeout limits one request to a peer.
+	bootstrapTimeout = 400 * time.Millisecond
+	// maxBootstrapBytes limits a response. It has room for the store's largest value
+	// and the entries of a thousand servers.
+	maxBootstrapBytes = 4 << 20
+)
+
+// bootstrapState is what a gateway sends to a new one that cannot reach the store.
+type bootstrapState struct {
+	Snapshot directory.Snapshot `json:"snapshot"`
+	// Gateways are the gateways' addresses for datagrams, by VM.
+	Gateways map[string]netip.AddrPort `json:"gateways"`
+}
+
+// serveBootstrap serves this gateway's state to new gateways.
+func (p *components) serveBootstrap(ctx context.Context) error {
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET "+bootstrapPath, func(w http.ResponseWriter, _ *http.Request) {
+		snapshot, ok := p.directory.Snapshot()
+		if !ok {
+			w.WriteHeader(http.StatusServiceUnavailable)
+			return
+		}
+		w.Header().Set("Content-Type", "application/json")
+		if err := json.NewEncoder(w).Encode(bootstrapState{Snapshot: snapshot, Gateways: p.peers.Addresses()}); err != nil {
+			log.WithField("error", err.Error()).Info("write bootstrap state failed")
+		}
+	})
+	return serveHTTP(ctx, p.config.Deployment.Neighbours, mux)
+}
+
+// bootstrapFromPeers asks the seed gateways until the configuration is known, from
+// them or from the store.
+func (p *components) bootstrapFromPeers(ctx context.Context) error {
+	client := &http.Client{Timeout: bootstrapTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+	wait := bootstrapDelay
+	for {
+		if !pause.For(ctx, wait) {
+			return ctx.Err()
+		}
+		if p.directory.View().Table != nil {
+			<-ctx.Done()
+			return ctx.Err()
+		}
+		wait = bootstrapInterval
+		for _, seed := range p.config.Deployment.Seeds {
+			if seed == p.config.Deployment.Neighbours {
+				continue
+			}
+			state, err := fetchBootstrap(ctx, client, seed)
+			if err != nil {
+				log.WithField("neighbour", seed).WithField("error", err.Error()).Debug("bootstrap from peer failed")
+				continue
+			}
+			p.directory.Adopt(time.Now(), state.Snapshot)
+			p.peers.SetPeers(state.Gateways)
+			break
+		}
+	}
+}
+
+// fetchBootstrap requests the state of the gateway at address.
+func fetchBootstrap(ctx context.Context, client *http.Client, address string) (bootstrapState, error) {
+	var state bootstrapState
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+bootstrapPath, nil)
+	if err != nil {
+		return state, eris.Wrap(err, "create request")
+	}
+	resp, err := client.Do(req)
+	if err != nil {
+		return state, eris.Wrap(err, "send request")
+	}
+	defer resp.Body.Close()
+	if resp.StatusCode != http.StatusOK {
+		return state, eris.Errorf("status %d", resp.StatusCode)
+	}
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBootstrapBytes))
+	if err != nil {
+		return state, eris.Wrap(err, "read response")
+	}
+	return state, eris.Wrap(json.Unmarshal(data, &state), "decode response")
+}
--- a/internal/gateway/process/learned.go
+++ b/internal/gateway/process/learned.go
@@ -16,44 +16,44 @@
 )
 
 const (
-	// learnedKind and learnedName are those of the object that holds what gateways
-	// have learned of model engines.
+	// learnedKind and learnedName identify the store object with what gateways have
+	// learned of model engines.
 	learnedKind = "pistachioroad-learned"
 	learnedName = "engines"
-	// saveEvery is how often one gateway writes it. Engines keep their speed for
-	// longer, and each write is a call to the store.
-	saveEvery = 5 * time.Second
-	// restoreEvery is how often a new process tries to read it, restoreWithin for how
-	// long: by then it has learned by itself.
-	restoreEvery  = 200 * time.Millisecond
-	restoreWithin = 10 * time.Second
-	// maxLearned is the largest value that is written, in bytes.
-	maxLearned = 512 << 10
+	// saveInterval is how often one gateway writes the object. Engines' speeds change
+	// more slowly, and each write is a call to the store.
+	saveInterval = 5 * time.Second
+	// restoreInterval is how often a new process tries to read the object, and
+	// restoreTimeout for how long: by then it has learned the state itself.
+	restoreInterval = 200 * time.Millisecond
+	restoreTimeout  = 10 * time.Second
+	// maxLearnedBytes limits the size of the object's value.
+	maxLearnedBytes = 512 << 10
 )
 
-// errLearnedTooLarge says that what was learned is not saved.
-var errLearnedTooLarge = eris.New("what was learned is too large for the store")
+// errLearnedTooLarge is returned if the learned state exceeds maxLearnedBytes.
+var errLearnedTooLarge = eris.New("learned state exceeds 512 KiB")
 
-// learned is the object's value.
-type learned struct {
+// learnedState is the object's value.
+type learnedState struct {
 	Services map[string]place.Snapshot `json:"services"`
 }
 
-// saver writes what was learned. The write is idempotent, and a lost one is made up
-// for by the next.
+// saver writes the learned state to the store. Writes are idempotent, and the next
+// one makes up for a lost one.
 type saver struct {
 	store store.Store
-	// revision is that of the object as last written, 0 if unknown.
+	// revision is the object's revision after the last write, 0 if unknown.
 	revision int64
 }
 
 // save writes services to the store.
 func (s *saver) save(ctx context.Context, services map[string]place.Snapshot) error {
-	value, err := json.Marshal(learned{Services: services})
+	value, err := json.Marshal(learnedState{Services: services})
 	if err != nil {
 		return eris.Wrap(err, "encode")
 	}
-	if len(value) > maxLearned {
+	if len(value) > maxLearnedBytes {
 		return errLearnedTooLarge
 	}
 	o, err := s.write(ctx, value)
@@ -66,6 +66,7 @@
 	return nil
 }
 
+// write creates the object or updates it if it still has the last known revision.
 func (s *saver) write(ctx context.Context, value json.RawMessage) (store.Object, error) {
 	if s.revision > 0 {
 		return s.store.Update(ctx, learnedKind, learnedName, s.revision, value)
@@ -80,60 +81,62 @@
 	return s.store.Update(ctx, learnedKind, learnedName, o.Revision, value)
 }
 
-// saveLearned has the first of the gateways save what it has learned.
-func (p *parts) saveLearned(ctx context.Context) error {
+// saveLearned periodically saves the learned state if this is the gateway of rank 0.
+func (p *components) saveLearned(ctx context.Context) error {
 	s := &saver{store: p.store}
-	for pause.For(ctx, saveEvery) {
+	for pause.For(ctx, saveInterval) {
 		services := p.gateway.LearnedState()
 		if p.peers.Rank() != 0 || len(services) == 0 {
 			continue
 		}
 		if err := s.save(ctx, services); err != nil {
-			log.WithField("error", err.Error()).Info("what was learned of engines not saved, trying again")
+			log.WithField("error", err.Error()).Info("save of learned engine state failed, retrying")
 			continue
 		}
-		log.WithField("revision", s.revision).WithField("services", len(services)).Info("what was learned of engines saved")
+		log.WithField("revision", s.revision).WithField("services", len(services)).Info("saved learned engine state")
 	}
 	return ctx.Err()
 }
 
-// restoreLearned takes over what gateways had learned before this process started.
-func (p *parts) restoreLearned(ctx context.Context) error {
+// restoreLearned loads the state that gateways learned before this process started.
+func (p *components) restoreLearned(ctx context.Context) error {
 	if !p.config.Deployment.FirstStart {
-		restoreLearned(ctx, p.store, p.gateway)
+		restoreLearnedState(ctx, p.store, p.gateway)
 	}
 	<-ctx.Done()
 	return ctx.Err()
 }
 
-func restoreLearned(ctx context.Context, s store.Store, g *gateway.Gateway) {
-	for end := time.Now().Add(restoreWithin); time.Now().Before(end); {
-		// A stale read does: engines keep their speed for longer.
+// restoreLearnedState reads the learned state from the store and passes it to g. It
+// retries until restoreTimeout has elapsed.
+func restoreLearnedState(ctx context.Context, s store.Store, g *gateway.Gateway) {
+	for end := time.Now().Add(restoreTimeout); time.Now().Before(end); {
+		// A stale read suffices, because engines' speeds change slowly.
 		l, err := s.List(ctx, learnedKind, store.Stale)
 		if err == nil {
 			for _, o := range l.Objects {
-				takeOver(g, o)
+				restoreObject(g, o)
 			}
 			return
 		}
-		log.WithField("error", err.Error()).Debug("what was learned of engines not read, trying again")
-		if !pause.For(ctx, restoreEvery) {
+		log.WithField("error", err.Error()).Debug("read of learned engine state failed, retrying")
+		if !pause.For(ctx, restoreInterval) {
 			return
 		}
 	}
 }
 
-// takeOver has g take over what an object holds.
-func takeOver(g *gateway.Gateway, o store.Object) {
-	var l learned
+// restoreObject restores the learned state of g from an object.
+func restoreObject(g *gateway.Gateway, o store.Object) {
+	var l learnedState
 	err := json.Unmarshal(o.Spec, &l)
 	if err == nil {
-		err = g.RestoreLearned(l.Services)
+		err = g.RestoreLearnedState(l.Services)
 	}
 	entry := log.WithField("object", o.Name).WithField("revision", o.Revision).WithField("services", len(l.Services))
 	if err != nil {
-		entry.WithField("error", err.Error()).Warn("what was learned of engines is taken over in part")
+		entry.WithField("error", err.Error()).Warn("restored learned engine state only in part")
 		return
 	}
-	entry.Info("what was learned of engines is taken over")
+	entry.Info("restored learned engine state")
 }
--- a/internal/gateway/process/learned_test.go
+++ b/internal/gateway/process/learned_test.go
@@ -19,7 +19,7 @@
 	"pistachioroad.dev/pistachioroad/test/standin/objectstore"
 )
 
-var _ = Describe("what was learned of engines", func() {
+var _ = Describe("the learned state of engines", func() {
 	var (
 		objects *objectstore.Store
 		client  *platform.Store
@@ -33,7 +33,7 @@
 	newGateway := func() *gateway.Gateway {
 		return gateway.New(gateway.Config{Dialect: platform.Dialect{}, Directory: directory.New(client, platform.Dialect{}, platform.Kinds)})
 	}
-	// learned is what a fleet has learned from a hundred answers.
+	// learned returns what a fleet has learned from a hundred answers.
 	learned := func() map[string]place.Snapshot {
 		f := place.NewFleet()
 		f.SetEngines([]place.Engine{{ID: "e", Role: backend.Decode, KVTokens: 1_000_000, Incarnation: 7}})
@@ -56,17 +56,18 @@
 		return s.save(ctx, services)
 	}
 
-	// All gateways lose power, and callers resume their answers together. By what is
-	// known of nothing, those that need a fast engine go to any.
-	It("is known to gateways that start after all were lost", func() {
+	// Guards against bad placement after all gateways lost power: all callers resume their
+	// answers at the same time, and without learned speeds, requests that need a fast
+	// engine are sent to any.
+	It("is restored by gateways that start after all had terminated", func() {
 		Expect(save(&saver{store: client}, learned())).To(Succeed())
 		g := newGateway()
 		Expect(g.LearnedState()).To(BeEmpty())
-		restoreLearned(context.Background(), client, g)
+		restoreLearnedState(context.Background(), client, g)
 		Expect(g.LearnedState()).To(HaveKey("llm"))
 	})
 
-	It("is saved again by whichever gateway does it", func() {
+	It("can be saved by several gateways in turn", func() {
 		first, second := &saver{store: client}, &saver{store: client}
 		Expect(save(first, learned())).To(Succeed())
 		Expect(save(second, map[string]place.Snapshot{"llm": {}})).To(Succeed())
@@ -74,11 +75,11 @@
 		Expect(save(first, learned())).To(Succeed())
 	})
 
-	It("is not taken over from an object that is not understood", func() {
+	It("is not restored from an invalid object", func() {
 		objects.PutRaw(learnedKind, learnedName, []byte(`{"services":{"llm":{"steps":{"normal":[[1]],"right":[1],"count":500}}}}`))
 		objects.PutRaw(learnedKind, "other", []byte(`[]`))
 		g := newGateway()
-		restoreLearned(context.Background(), client, g)
+		restoreLearnedState(context.Background(), client, g)
 		Expect(g.LearnedState()).To(BeEmpty())
 	})
 })
--- a/internal/gateway/process/process.go
+++ b/internal/gateway/process/process.go
@@ -1,5 +1,5 @@
-// Package process puts the parts of a gateway process together: the directory
-// that follows the store, the front door, readiness, metrics and reload.
+// Package process assembles a gateway process: the directory that follows the
+// store, the HTTP server for callers, readiness, metrics and reload of settings.
 package process
 
 import (
@@ -36,16 +36,17 @@
 	"pistachioroad.dev/pistachioroad/platform"
 )
 
-// Config is what a process starts from.
+// Config configures a gateway process.
 type Config struct {
 	Deployment deployment.Deployment
-	// Reload reads the settings again.
+	// Reload rereads the settings.
 	Reload func() (deployment.Deployment, error)
-	// MetricsPort serves metrics on the VM's own IP number; 0 for none.
+	// MetricsPort is the port on the VM's own IP address for metrics, 0 for none.
 	MetricsPort int
 }
 
-// Run serves until ctx ends and the requests in hand are finished.
+// Run serves until ctx is done, and then until the requests in flight have finished
+// or the grace period ends.
 func Run(ctx context.Context, c Config) error {
 	d := c.Deployment
 	log.WithFields(log.Fields{
@@ -60,7 +61,7 @@
 		Directory:  dir,
 	})
 	dir.OnChange = g.ViewChanged
-	others, err := peers.New(peers.Config{
+	gateways, err := peers.New(peers.Config{
 		Name:    d.Name,
 		StartID: rand.Uint64(),
 		Address: net.JoinHostPort(d.IP, strconv.Itoa(d.PeerPort)),
@@ -68,19 +69,19 @@
 	if err != nil {
 		return err
 	}
-	g.SetGossip(others)
-	dir.Watcher = others.IsWatcher
+	g.SetGossip(gateways)
+	dir.Watcher = gateways.IsWatcher
 	dir.OnEntry = func(c directory.Change) {
-		if others.IsWatcher() {
-			others.AnnounceServerChange(c)
+		if gateways.IsWatcher() {
+			gateways.AnnounceServerChange(c)
 		}
 	}
-	p := &parts{config: c, gateway: g, directory: dir, peers: others, store: storeClient}
+	p := &components{config: c, gateway: g, directory: dir, peers: gateways, store: storeClient}
 	return p.supervise(ctx)
 }
 
-// parts are the duties of a process.
-type parts struct {
+// components holds what the duties of a process work on.
+type components struct {
 	config    Config
 	gateway   *gateway.Gateway
 	directory *directory.Directory
@@ -88,7 +89,9 @@
 	store     store.Store
 }
 
-func (p *parts) supervise(ctx context.Context) error {
+// supervise runs the duties under a supervisor, and serves callers until ctx is done.
+// The duties go on until the requests in flight have finished.
+func (p *components) supervise(ctx context.Context) error {
 	c, g, dir := p.config, p.gateway, p.directory
 	duties, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -100,18 +103,18 @@
 	root.Add(duty(dir.Expire))
 	root.Add(duty(p.peers.Receive))
 	root.Add(duty(p.reconciler().Run))
-	root.Add(duty(p.confirm))
-	root.Add(duty(p.tellEndings))
-	root.Add(duty(p.tellLimits))
-	root.Add(duty(p.learn))
+	root.Add(duty(p.announceConfirmations))
+	root.Add(duty(p.reannounceTerminations))
+	root.Add(duty(p.reannounceServerLimits))
+	root.Add(duty(p.loadCacheContents))
 	root.Add(duty(p.restoreLearned))
 	root.Add(duty(p.saveLearned))
 	root.Add(duty(func(ctx context.Context) error { return p.peers.Register(ctx, p.store) }))
 	root.Add(duty(func(ctx context.Context) error { return serveReadiness(ctx, c.Deployment, g) }))
 	root.Add(duty(func(ctx context.Context) error { return reload(ctx, c, g) }))
 	if c.Deployment.Neighbours != "" {
-		root.Add(duty(p.serveKnowledge))
-		root.Add(duty(p.askNeighbours))
+		root.Add(duty(p.serveBootstrap))
+		root.Add(duty(p.bootstrapFromPeers))
 	}
 	if c.MetricsPort > 0 {
 		root.Add(duty(func(ctx context.Context) error { return serveMetrics(ctx, c, g) }))
@@ -120,13 +123,13 @@
 	return g.Serve(ctx)
 }
 
-// confirmEvery is how often a gateway that watches tells what the store has
-// confirmed: several times within the age that the others believe.
-const confirmEvery = 300 * time.Millisecond
+// confirmInterval is how often a gateway that watches the store announces what the
+// store has confirmed: several times within the maximum age that the others accept.
+const confirmInterval = 300 * time.Millisecond
 
-// confirm tells the other gateways what this one's watches have confirmed.
-func (p *parts) confirm(ctx context.Context) error {
-	return periodic.Run(ctx, confirmEvery, func(now time.Time) {
+// announceConfirmations announces what this gateway's watches have confirmed.
+func (p *components) announceConfirmations(ctx context.Context) error {
+	return periodic.Run(ctx, confirmInterval, func(now time.Time) {
 		if !p.peers.IsWatcher() {
 			return
 		}
@@ -136,79 +139,83 @@
 	})
 }
 
-// tellEvery is how often what is known of servers that ended under requests, and of the
-// limits of servers, is told again: several times within the time in which gateways must agree on it.
-const tellEvery = 500 * time.Millisecond
+// reannounceInterval is how often terminations of servers and server limits are
+// announced again: several times within the time in which gateways must agree on them.
+const reannounceInterval = 500 * time.Millisecond
 
-// tellEndings makes up for lost datagrams, and for gateways that were not there.
-func (p *parts) tellEndings(ctx context.Context) error {
-	return periodic.Run(ctx, tellEvery, p.gateway.TellEndings)
+// reannounceTerminations repeats announcements of terminations for gateways that
+// missed them because of lost datagrams or a later start.
+func (p *components) reannounceTerminations(ctx context.Context) error {
+	return periodic.Run(ctx, reannounceInterval, p.gateway.ReannounceTerminations)
 }
 
-// tellLimits does the same for the limits that servers name.
-func (p *parts) tellLimits(ctx context.Context) error {
-	return periodic.Run(ctx, tellEvery, p.gateway.TellLimits)
+// reannounceServerLimits does the same for the limits that servers announce.
+func (p *components) reannounceServerLimits(ctx context.Context) error {
+	return periodic.Run(ctx, reannounceInterval, p.gateway.ReannounceServerLimits)
 }
 
-// lookForEngines is how often a new process looks whether engines are known.
-const lookForEngines = 50 * time.Millisecond
+// engineLookupInterval is how often a new process checks whether engines are known.
+const engineLookupInterval = 50 * time.Millisecond
 
-// learn asks the engines once what they keep. A process that was restarted
-// knows nothing of that, and would have shared parts read again at engines that
-// do not keep them: after a restart of all processes, demand of reading doubles.
-func (p *parts) learn(ctx context.Context) error {
+// loadCacheContents queries the contents of the engines' prefix caches once. Without
+// it, a restarted process sends prompts to engines that have not cached the shared
+// segments: after a restart of all processes, prefill demand doubles.
+func (p *components) loadCacheContents(ctx context.Context) error {
 	if !p.config.Deployment.FirstStart {
 		for p.directory.View().Table == nil || len(p.directory.View().Servers) == 0 {
-			if !pause.For(ctx, lookForEngines) {
+			if !pause.For(ctx, engineLookupInterval) {
 				return ctx.Err()
 			}
 		}
-		p.askKept(ctx)
+		p.queryCaches(ctx)
 	}
 	<-ctx.Done()
 	return ctx.Err()
 }
 
-// mostAsked bounds the engines that one gateway asks. Each call delays an engine,
-// and after a restart of all processes every gateway asks: with a thousand
-// engines and some hundred gateways the calls would take longer than the caches
-// take to be learned by use.
-const mostAsked = 64
+// maxCacheQueries limits the engines that one gateway queries. Each query delays an
+// engine, and after a restart of all processes every gateway queries: with a thousand
+// engines and some hundred gateways, that would take longer than learning the cache
+// contents from placements.
+const maxCacheQueries = 64
 
-func (p *parts) askKept(ctx context.Context) {
+// queryCaches queries the cache contents of some engines, other than those that
+// announce a limit.
+func (p *components) queryCaches(ctx context.Context) {
 	client := platform.NewEngines()
-	for _, s := range someEngines(p.directory.View().Servers, mostAsked) {
-		if p.gateway.NamesLimit(s.ID) {
+	for _, s := range randomEngines(p.directory.View().Servers, maxCacheQueries) {
+		if p.gateway.HasServerLimit(s.ID) {
 			continue
 		}
-		kept, err := client.Kept(ctx, s)
+		cached, err := client.Kept(ctx, s)
 		if err != nil {
-			log.WithField("engine", s.ID).WithField("error", err.Error()).Info("what an engine keeps is not known")
+			log.WithField("engine", s.ID).WithField("error", err.Error()).Info("query of an engine's cache contents failed")
 			continue
 		}
-		p.gateway.AddCachedSegments(s.Service, s.ID, kept)
-		log.WithField("engine", s.ID).WithField("parts", len(kept)).Info("what an engine keeps is known")
+		p.gateway.AddCachedSegments(s.Service, s.ID, cached)
+		log.WithField("engine", s.ID).WithField("parts", len(cached)).Info("loaded an engine's cache contents")
 	}
 }
 
-// someEngines returns up to most engines that serve, at random.
-func someEngines(servers map[string]backend.Server, most int) []backend.Server {
+// randomEngines returns up to limit random engines that are not draining.
+func randomEngines(servers map[string]backend.Server, limit int) []backend.Server {
 	engines := lo.Filter(lo.Values(servers), func(s backend.Server, _ int) bool {
 		return s.Role != backend.NoRole && !s.Draining
 	})
 	rand.Shuffle(len(engines), func(i, j int) { engines[i], engines[j] = engines[j], engines[i] })
-	return engines[:min(most, len(engines))]
+	return engines[:min(limit, len(engines))]
 }
 
-// grantTime is how long one grant of the lease for orders lasts: time for the
-// orders of a start, a call of up to 0.8 s each.
-const grantTime = 4 * time.Second
+// leaseTime is how long one grant of the lease for orders lasts. It leaves time for
+// the orders of a start, each a call of up to 0.8 s.
+const leaseTime = 4 * time.Second
 
-// orderGap is how much longer than the operators' bound another holder waits:
-// an order may be on its way for 0.8 s after its grant has ended.
-const orderGap = 1200 * time.Millisecond
+// orderLeaseGap is added to the operators' limit for how long a new holder waits
+// after a grant has expired, since an order may be in transit for 0.8 s after that.
+const orderLeaseGap = 1200 * time.Millisecond
 
-func (p *parts) reconciler() *reconcile.Reconciler {
+// reconciler returns the duty that sends orders to engines.
+func (p *components) reconciler() *reconcile.Reconciler {
 	d := p.config.Deployment
 	return reconcile.New(reconcile.Config{
 		Holder:             d.Name,
@@ -216,7 +223,7 @@
 		Rank:               p.peers.Rank,
 		InFlight:           p.gateway.EngineInFlight,
 		Speed:              p.gateway.EngineSpeed,
-		Limited:            p.gateway.NamesLimit,
+		Limited:            p.gateway.HasServerLimit,
 		ExpectedMissRate:   p.gateway.ExpectedMissRate,
 		PlacedRequests:     p.gateway.EnginePlacements,
 		RoleChangeStarting: p.gateway.AvoidEngine,
@@ -225,14 +232,14 @@
 			Name:        "orders",
 			Holder:      d.Name,
 			Incarnation: uuid.NewString(),
-			Valid:       grantTime,
-			Gap:         d.Bounds.Lease + orderGap,
+			Valid:       leaseTime,
+			Gap:         d.Bounds.Lease + orderLeaseGap,
 			Clock:       boottime.Now,
 		}),
 	})
 }
 
-// duty is a function as a service of the supervisor.
+// duty adapts a function to suture.Service.
 type duty func(context.Context) error
 
 // Serve implements suture.Service.
@@ -254,17 +261,17 @@
 	mux.HandleFunc("GET /dump", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		if err := json.NewEncoder(w).Encode(g.Dump(time.Now())); err != nil {
-			log.WithField("error", err.Error()).Info("state not dumped")
+			log.WithField("error", err.Error()).Info("write dump failed")
 		}
 	})
 	return serveHTTP(ctx, net.JoinHostPort(c.Deployment.IP, strconv.Itoa(c.MetricsPort)), mux)
 }
 
-// headTimeout bounds the reading of a question's head.
-const headTimeout = 5 * time.Second
+// readHeaderTimeout limits how long reading a request's header may take.
+const readHeaderTimeout = 5 * time.Second
 
 func serveHTTP(ctx context.Context, address string, h http.Handler) error {
-	server := &http.Server{Addr: address, Handler: h, ReadHeaderTimeout: headTimeout}
+	server := &http.Server{Addr: address, Handler: h, ReadHeaderTimeout: readHeaderTimeout}
 	defer context.AfterFunc(ctx, func() { server.Close() })()
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -273,16 +280,17 @@
 	return server.Serve(listener)
 }
 
-// lookAgain is how often the settings file is looked at: it may change without
-// a signal.
-const lookAgain = 5 * time.Second
+// settingsPollInterval is how often the settings are reread, since they may change
+// without a signal.
+const settingsPollInterval = 5 * time.Second
 
-// reload reads the settings again on SIGHUP and when they have changed.
+// reload rereads the settings on SIGHUP and every settingsPollInterval, and applies
+// changes.
 func reload(ctx context.Context, c Config, g *gateway.Gateway) error {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	defer signal.Stop(signals)
-	tick := time.NewTicker(lookAgain)
+	tick := time.NewTicker(settingsPollInterval)
 	defer tick.Stop()
 	current := c.Deployment
 	for {
@@ -294,7 +302,7 @@
 		}
 		d, err := c.Reload()
 		if err != nil {
-			log.WithField("error", err.Error()).Error("settings not reloaded, the ones before stay")
+			log.WithField("error", err.Error()).Error("reload of settings failed, the previous ones stay")
 			continue
 		}
 		if reflect.DeepEqual(d, current) {
--- a/internal/gateway/process/process_test.go
+++ b/internal/gateway/process/process_test.go
@@ -15,20 +15,20 @@
 	RunSpecs(t, "process")
 }
 
-var _ = Describe("engines asked after a start", func() {
-	// Three hundred gateways start at once before a thousand engines. Were each
-	// to ask every engine, callers would wait for all of these calls.
-	It("are bounded, and only engines that serve", func() {
+var _ = Describe("engines queried after a start", func() {
+	// Guards against delaying callers: three hundred gateways start at the same time with
+	// a thousand engines, and each queries every engine.
+	It("are limited in number and not draining", func() {
 		servers := map[string]backend.Server{"plain": {ID: "plain"}}
 		for i := range 1_000 {
 			id := strconv.Itoa(i)
 			servers[id] = backend.Server{ID: id, Role: backend.Decode, Draining: i%2 == 0}
 		}
-		some := someEngines(servers, mostAsked)
-		Expect(some).To(HaveLen(mostAsked))
-		for _, s := range some {
+		chosen := randomEngines(servers, maxCacheQueries)
+		Expect(chosen).To(HaveLen(maxCacheQueries))
+		for _, s := range chosen {
 			Expect(s.Draining || s.Role == backend.NoRole).To(BeFalse())
 		}
-		Expect(someEngines(map[string]backend.Server{}, mostAsked)).To(BeEmpty())
+		Expect(randomEngines(map[string]backend.Server{}, maxCacheQueries)).To(BeEmpty())
 	})
 })
--- a/internal/gateway/respond.go
+++ b/internal/gateway/respond.go
@@ -19,35 +19,37 @@
 	"pistachioroad.dev/pistachioroad/internal/verdict"
 )
 
-// copyBuffer is the size of the buffers that answers pass through.
-const copyBuffer = 8 << 10
+// copyBufferSize is the size of the buffers for copying response bodies.
+const copyBufferSize = 8 << 10
 
-var buffers = sync.Pool{New: func() any { b := make([]byte, copyBuffer); return &b }}
+var buffers = sync.Pool{New: func() any { b := make([]byte, copyBufferSize); return &b }}
 
-// trace is what the log line of a request tells.
+// trace collects data for the log line and the metrics of a request.
 type trace struct {
-	status  int
-	code    verdict.Code
-	message string
-	server  string
-	first   time.Duration
-	// plan is where the prompt went, prefill how long its reading took there.
+	status    int
+	code      verdict.Code
+	message   string
+	server    string
+	firstByte time.Duration
+	// plan is the last placement of the prompt, prefill how long its prefill took.
 	plan    place.Plan
 	prefill time.Duration
-	// bySize says that the prompt was let in for its length.
+	// bySize is set if the prompt was admitted because too few prompts of its
+	// length had been.
 	bySize bool
-	// placed is how long after the request came the plan was made.
-	placed time.Duration
-	// events counts those that were passed on.
+	// plannedAfter is the time from the receipt of the request to the last plan.
+	plannedAfter time.Duration
+	// events counts the stream events that were forwarded.
 	events  int
 	bytes   int64
 	aborted bool
-	// broke says that a server's connection broke while it may have run the request.
-	broke bool
+	// connectionBroken is set if a server's connection broke while the server may
+	// have been running the request.
+	connectionBroken bool
 }
 
-// refuse answers with an error of the gateway's own.
-func (c *call) refuse(status int, e *verdict.Error) {
+// respondError sends an error response made by the gateway itself.
+func (c *call) respondError(status int, e *verdict.Error) {
 	invariant.Check(!promisesNotRun(status) || c.verdict == verdict.NotRun, "not-run-is-true",
 		"request %s is answered %d though it is %s", c.id, status, c.verdict)
 	c.trace.status, c.trace.code, c.trace.message = status, e.Code, e.Message
@@ -77,34 +79,35 @@
 	RequestID string `json:"request_id"`
 }
 
-// fail answers a request that no server answered. Whether it may have run
-// decides the status: 503 promises that it has not, 502 and 504 promise nothing.
+// fail responds to a request for which there is no server response. The status
+// depends on whether the request may have run: 503 promises that it has not, 502
+// and 504 promise nothing.
 func (c *call) fail(e *verdict.Error) {
-	if c.caller.Err() != nil {
-		c.trace.code, c.trace.message = verdict.CodeCancelled, "the caller left"
+	if c.callerCtx.Err() != nil {
+		c.trace.code, c.trace.message = verdict.CodeCancelled, "caller disconnected"
 		c.trace.aborted = true
 		panic(http.ErrAbortHandler)
 	}
 	if c.verdict == verdict.NotRun {
-		c.refuse(http.StatusServiceUnavailable, verdict.NewRejection(e.Code, e.Message, max(leastRetry, e.RetryAfter)))
+		c.respondError(http.StatusServiceUnavailable, verdict.NewRejection(e.Code, e.Message, max(minRetryAfter, e.RetryAfter)))
 		return
 	}
 	status := http.StatusBadGateway
-	if c.left() <= 0 {
+	if c.remaining() <= 0 {
 		status = http.StatusGatewayTimeout
 	}
-	c.refuse(status, verdict.New(c.verdict, e.Code, e.Message))
+	c.respondError(status, verdict.New(c.verdict, e.Code, e.Message))
 }
 
-// leastRetry is the least time after which a refused caller is asked back.
-const leastRetry = 100 * time.Millisecond
+// minRetryAfter is the lower limit of Retry-After.
+const minRetryAfter = 100 * time.Millisecond
 
-// head passes the head of an answer on.
-func (c *call) head(reply *direct.Reply) {
+// writeHead forwards the head of a response.
+func (c *call) writeHead(reply *direct.Reply) {
 	h := c.writer.Header()
 	maps.Copy(h, reply.Header)
 	if _, ok := h["Content-Type"]; !ok {
-		// A nil value keeps the library from guessing one.
+		// A nil value keeps net/http from detecting a content type.
 		h["Content-Type"] = nil
 	}
 	if reply.Length >= 0 {
@@ -114,21 +117,21 @@
 	c.writer.WriteHeader(reply.Status)
 }
 
-// pass copies the body as it arrives. It returns the error of the server's
-// side; one of the caller's side ends the call.
-func (c *call) pass(body io.Reader) error {
+// copyBody forwards the body as it arrives. It returns an error of reading from the
+// server; an error of writing to the caller aborts the call.
+func (c *call) copyBody(body io.Reader) error {
 	flusher := http.NewResponseController(c.writer)
 	buf := buffers.Get().(*[]byte)
 	defer buffers.Put(buf)
 	for {
 		n, err := body.Read(*buf)
 		if n > 0 {
-			c.sent(n)
+			c.countSent(n)
 			if _, werr := c.writer.Write((*buf)[:n]); werr != nil {
-				c.abort("the caller's connection failed")
+				c.abort("write to the caller failed")
 			}
 			if ferr := flusher.Flush(); ferr != nil {
-				c.abort("the caller's connection failed")
+				c.abort("write to the caller failed")
 			}
 		}
 		if err == io.EOF {
@@ -140,27 +143,28 @@
 	}
 }
 
-func (c *call) sent(n int) {
+// countSent counts forwarded bytes and records when the first were forwarded.
+func (c *call) countSent(n int) {
 	if c.trace.bytes == 0 {
-		c.trace.first = time.Since(c.received)
+		c.trace.firstByte = time.Since(c.received)
 	}
 	c.trace.bytes += int64(n)
 }
 
-// abort ends the caller's connection, so that an answer cut short cannot be
-// taken for a whole one.
+// abort closes the caller's connection, so that a truncated response is not taken
+// for a complete one.
 func (c *call) abort(why string) {
 	c.trace.aborted = true
 	c.trace.message = why
 	panic(http.ErrAbortHandler)
 }
 
-// logEnd writes the line of the request.
-func (c *call) logEnd() {
+// logRequest logs the request and records its metrics.
+func (c *call) logRequest() {
 	fields := log.Fields{
 		"request": c.id, "route": c.route.Name, "service": c.service.Name, "kind": c.route.Kind.String(),
-		"status": c.trace.status, "verdict": c.verdict.String(), "sends": c.sends, "server": c.trace.server,
-		"total_ms": time.Since(c.received).Milliseconds(), "first_ms": c.trace.first.Milliseconds(), "bytes": c.trace.bytes,
+		"status": c.trace.status, "verdict": c.verdict.String(), "sends": c.attempts, "server": c.trace.server,
+		"total_ms": time.Since(c.received).Milliseconds(), "first_ms": c.trace.firstByte.Milliseconds(), "bytes": c.trace.bytes,
 	}
 	if c.view != nil {
 		fields["config_revision"], fields["config_told"] = c.view.TableRevision, c.view.TableTold
@@ -182,12 +186,12 @@
 			fields["resumed_after"] = c.request.LastEventID
 		}
 	}
-	if c.trace.broke {
+	if c.trace.connectionBroken {
 		fields["fingerprint"], fields["caller"] = c.fingerprint().String(), c.request.Caller
 	}
 	if len(c.limitedBy) > 0 {
 		names := slices.Sorted(maps.Keys(c.limitedBy))
-		fields["limited"] = strings.Join(names[:min(mostLogged, len(names))], " ")
+		fields["limited"] = strings.Join(names[:min(maxLogged, len(names))], " ")
 	}
 	if c.trace.code != "" {
 		fields["code"] = string(c.trace.code)
@@ -199,5 +203,5 @@
 		fields["aborted"] = true
 	}
 	log.WithFields(fields).Info("request")
-	c.gateway.observe(c)
+	c.gateway.recordMetrics(c)
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -14,54 +14,54 @@
 )
 
 const (
-	// filesReserved descriptors are left for files, the store and backend
-	// servers; callers share the rest.
-	filesReserved = 700
-	// balancerLag is how long after readiness goes false the balancer may still
-	// send new connections: two questions, one a second, and a margin.
+	// reservedDescriptors is the number of file descriptors set aside for files,
+	// the store and backend servers. The rest are for callers' connections.
+	reservedDescriptors = 700
+	// balancerLag is how long the load balancer may still send new connections
+	// after readiness turns false: two health checks, one a second, and a margin.
 	balancerLag = 3 * time.Second
-	// graceMargin is left of the grace for the end of the process.
+	// graceMargin is the part of the grace period reserved for the process to exit.
 	graceMargin = 400 * time.Millisecond
-	// idleMargin is how much longer than told an idle connection is kept: a
-	// caller may use it until the end.
-	idleMargin = 1.5
-	// sweepEvery is how often idle connections are looked at.
-	sweepEvery = 500 * time.Millisecond
-	// headerTimeout bounds the reading of a request's head before a
-	// configuration names a bound.
+	// idleTimeoutFactor extends the configured idle timeout of callers'
+	// connections, because a caller may use a connection until the timeout ends.
+	idleTimeoutFactor = 1.5
+	// idleSweepInterval is the interval between checks for expired idle connections.
+	idleSweepInterval = 500 * time.Millisecond
+	// headerTimeout limits how long reading a request's head may take. It applies
+	// before a configuration is known.
 	headerTimeout = 10 * time.Second
-	// maxHeader bounds a request's head.
-	maxHeader = 64 << 10
+	// maxHeaderBytes limits the size of a request's head.
+	maxHeaderBytes = 64 << 10
 )
 
-// Serve takes callers until ctx ends, and then lets the requests in hand finish
-// within the grace.
+// Serve serves callers until ctx is done, and then waits up to the grace period
+// for requests in flight to finish.
 func (g *Gateway) Serve(ctx context.Context) error {
 	d := g.deployment.Load()
 	listener, err := net.Listen("tcp4", d.Callers)
 	if err != nil {
 		return eris.Wrap(err, "listen for callers")
 	}
-	listener = netutil.LimitListener(listener, max(1, d.Descriptors-filesReserved))
+	listener = netutil.LimitListener(listener, max(1, d.Descriptors-reservedDescriptors))
 	idle := newIdleConns()
 	server := &http.Server{
 		Handler:           g,
 		ReadHeaderTimeout: headerTimeout,
-		MaxHeaderBytes:    maxHeader,
-		ConnState:         idle.changed,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ConnState:         idle.connStateChanged,
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- server.Serve(listener) }()
-	sweep := time.NewTicker(sweepEvery)
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- server.Serve(listener) }()
+	sweep := time.NewTicker(idleSweepInterval)
 	defer sweep.Stop()
 	for {
 		select {
-		case err := <-ended:
+		case err := <-serveErr:
 			return eris.Wrap(err, "serve callers")
 		case now := <-sweep.C:
-			g.transport.Expire(now)
+			g.transport.CloseExpired(now)
 			if t := g.directory.View().Table; t != nil && t.Limits.IdleTimeout > 0 {
-				idle.closeBefore(now.Add(-time.Duration(idleMargin * float64(t.Limits.IdleTimeout))))
+				idle.closeBefore(now.Add(-time.Duration(idleTimeoutFactor * float64(t.Limits.IdleTimeout))))
 			}
 		case <-ctx.Done():
 			return g.shutDown(server)
@@ -69,31 +69,32 @@
 	}
 }
 
-// shutDown turns readiness off, keeps the listener open for the balancer's lag,
-// and lets what runs finish.
+// shutDown turns readiness off, keeps the listener open for balancerLag and then
+// waits for requests in flight until the grace period ends.
 func (g *Gateway) shutDown(server *http.Server) error {
 	began := time.Now()
 	g.stopping.Store(true)
-	log.Info("stopping: not ready any more")
+	log.Info("shutting down, readiness is off")
 	time.Sleep(balancerLag)
 	grace := g.deployment.Load().Bounds.Grace - graceMargin - time.Since(began)
 	ctx, cancel := context.WithTimeout(context.Background(), max(0, grace))
 	defer cancel()
 	err := server.Shutdown(ctx)
-	log.WithField("complete", err == nil).Info("stopped")
+	log.WithField("complete", err == nil).Info("shut down")
 	if errors.Is(err, context.DeadlineExceeded) {
 		return nil
 	}
 	return err
 }
 
-// Ready reports whether callers should be sent here.
+// Ready reports whether the gateway should receive requests: it is not shutting
+// down and knows the configuration and the servers.
 func (g *Gateway) Ready() bool {
 	v := g.directory.View()
 	return !g.stopping.Load() && v.Table != nil && (!v.ServersAt.IsZero() || len(v.Servers) > 0)
 }
 
-// idleConns knows since when callers' connections are idle.
+// idleConns records since when callers' connections are idle.
 type idleConns struct {
 	mu    sync.Mutex
 	since map[net.Conn]time.Time
@@ -101,7 +102,7 @@
 
 func newIdleConns() *idleConns { return &idleConns{since: make(map[net.Conn]time.Time)} }
 
-func (i *idleConns) changed(c net.Conn, state http.ConnState) {
+func (i *idleConns) connStateChanged(c net.Conn, state http.ConnState) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if state == http.StateIdle {
@@ -111,12 +112,12 @@
 	delete(i.since, c)
 }
 
-// closeBefore closes connections that have been idle since before a moment.
-func (i *idleConns) closeBefore(moment time.Time) {
+// closeBefore closes connections that became idle before the given time.
+func (i *idleConns) closeBefore(cutoff time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for c, since := range i.since {
-		if since.Before(moment) {
+		if since.Before(cutoff) {
 			c.Close()
 			delete(i.since, c)
 		}
--- /dev/null
+++ b/internal/gateway/server_limits.go
@@ -0,0 +1,230 @@
+package gateway
+
+import (
+	"net/http"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/apex/log"
+	"github.com/rcrowley/go-metrics"
+	"github.com/samber/lo"
+
+	"pistachioroad.dev/pistachioroad/internal/boottime"
+	"pistachioroad.dev/pistachioroad/internal/decide/ratelimit"
+	"pistachioroad.dev/pistachioroad/internal/direct"
+	"pistachioroad.dev/pistachioroad/internal/directory"
+	"pistachioroad.dev/pistachioroad/internal/request"
+)
+
+// invalidLogInterval is the minimum time between log lines on invalid limits.
+const invalidLogInterval = 10 * time.Second
+
+// serverLimits tracks the request rate limits that servers announce in their
+// responses. All gateways together keep to the limit of a server.
+type serverLimits struct {
+	// limitedServers is the size of table. While it is 0, requests skip the lock.
+	limitedServers atomic.Int32
+
+	mu     sync.Mutex
+	table  *ratelimit.Table
+	gossip Gossip
+	// membership is the membership version at the last ranking.
+	membership uint64
+	// invalidAt is when an invalid limit was last logged.
+	invalidAt time.Time
+
+	// named counts servers that began to announce a limit, invalid the limits that
+	// could not be parsed, and unknown the notices of unknown servers.
+	named, invalid, unknown metrics.Counter
+	limited                 metrics.Gauge
+}
+
+func newServerLimits() *serverLimits {
+	l := &serverLimits{
+		gossip:  noGossip{},
+		named:   metrics.GetOrRegisterCounter("gateway.server_limits_named", nil),
+		invalid: metrics.GetOrRegisterCounter("gateway.server_limits_invalid", nil),
+		unknown: metrics.GetOrRegisterCounter("gateway.server_limits_unknown", nil),
+		limited: metrics.GetOrRegisterGauge("gateway.servers_limited", nil),
+	}
+	l.table = ratelimit.New(func(server string, round uint64) ratelimit.Rank { return l.gossip.RankFor(server, round) })
+	return l
+}
+
+// observe processes the limit in the head of a response, or its absence, and
+// announces a change.
+func (l *serverLimits) observe(info direct.ResponseInfo) {
+	if info.Limit.Invalid != "" {
+		l.logInvalid(info)
+		return
+	}
+	if (!info.Limit.Limited && l.limitedServers.Load() == 0) || !carriesLimit(info) {
+		return
+	}
+	received := boottime.Now()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	n := ratelimit.Notice{
+		Server: info.Server.Instance(), Limited: info.Limit.Limited, PerSecond: info.Limit.PerSecond,
+		RequestedAt: received - time.Since(info.Sent), ReceivedAt: received, Unauthenticated: !info.Sealed,
+	}
+	if l.addNotice(received, "", n) != ratelimit.Unchanged {
+		l.gossip.AnnounceServerLimit(n)
+	}
+}
+
+// carriesLimit reports whether a response is evidence of its server's limit. One
+// from a misdirected request is another server's, and a success without an
+// authentication code may come from any program.
+func carriesLimit(info direct.ResponseInfo) bool {
+	if info.Status == http.StatusMisdirectedRequest {
+		return false
+	}
+	return info.Sealed || info.NotRun || info.Stage == request.PrefillOnly
+}
+
+// addNotice adds a notice to the table and logs the change. The gateway that
+// announced the notice is from, or "" if it is from a response to this gateway.
+func (l *serverLimits) addNotice(now time.Duration, from string, n ratelimit.Notice) ratelimit.Change {
+	before, _ := l.table.Limit(n.Server.ID)
+	change := l.table.Add(now, n)
+	if change == ratelimit.Unchanged {
+		return change
+	}
+	l.updateCounts()
+	if change == ratelimit.Begun {
+		l.named.Inc(1)
+	}
+	fields := log.Fields{
+		"server": n.Server.ID, "incarnation": n.Server.Incarnation, "change": change.String(),
+		"per_second": n.PerSecond, "per_second_before": before,
+		"age_ms": (now - n.ReceivedAt).Milliseconds(), "sent_ms_ago": (now - n.RequestedAt).Milliseconds(),
+	}
+	if from != "" {
+		fields["from"] = from
+	}
+	log.WithFields(fields).Info("server's limit changed")
+	return change
+}
+
+// allows reports whether a server's limit allows a request from this gateway now.
+func (l *serverLimits) allows(server string) bool {
+	if l.limitedServers.Load() == 0 {
+		return true
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return !l.table.Tracks(server) || l.table.Allows(boottime.Now(), server)
+}
+
+// has reports whether a server announces a limit.
+func (l *serverLimits) has(server string) bool {
+	if l.limitedServers.Load() == 0 {
+		return false
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	_, ok := l.table.Limit(server)
+	return ok
+}
+
+// countSend counts a request against a server's limit.
+func (l *serverLimits) countSend(server string) {
+	if l.limitedServers.Load() == 0 {
+		return
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.table.Tracks(server) {
+		l.table.Take(boottime.Now(), server)
+	}
+}
+
+// retryAfter returns the time until the first of the given servers has room for a request.
+func (l *serverLimits) retryAfter(servers []string) time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := boottime.Now()
+	return slices.Min(lo.Map(servers, func(id string, _ int) time.Duration { return l.table.RetryAfter(now, id) }))
+}
+
+// HasServerLimit reports whether a server announces a limit.
+func (g *Gateway) HasServerLimit(server string) bool { return g.limits.has(server) }
+
+// RemoteServerLimit adds a limit notice that another gateway announced. Notices of
+// servers that are unknown here are dropped, because they are announced again.
+func (g *Gateway) RemoteServerLimit(from string, n ratelimit.Notice) {
+	if _, ok := g.directory.View().Servers[n.Server.ID]; !ok {
+		g.limits.unknown.Inc(1)
+		return
+	}
+	g.limits.mu.Lock()
+	defer g.limits.mu.Unlock()
+	g.limits.addNotice(boottime.Now(), from, n)
+}
+
+// ReannounceServerLimits repeats announcements that other gateways may have missed,
+// and updates the ranks if the membership has changed.
+func (g *Gateway) ReannounceServerLimits(time.Time) {
+	l := g.limits
+	if l.limitedServers.Load() == 0 {
+		return
+	}
+	g.engines.joinGroup()
+	l.prune(g.directory.View())
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := boottime.Now()
+	if m := l.gossip.MembershipVersion(); m != l.membership {
+		l.membership = m
+		l.table.UpdateRanks(now)
+	}
+	for _, n := range l.table.PendingAnnouncements(now, maxReannounced) {
+		l.gossip.ReannounceServerLimit(n)
+	}
+}
+
+// updateCounts updates the number of servers with a limit.
+func (l *serverLimits) updateCounts() {
+	l.limitedServers.Store(int32(l.table.Len()))
+	l.limited.Update(int64(l.table.Len()))
+}
+
+// prune removes the limits of servers that are gone.
+func (l *serverLimits) prune(v *directory.View) {
+	if l.limitedServers.Load() == 0 {
+		return
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.table.Prune(boottime.Now(), func(server string) bool {
+		_, ok := v.Servers[server]
+		return ok
+	})
+	l.updateCounts()
+}
+
+// logInvalid counts and logs a limit that cannot be parsed.
+func (l *serverLimits) logInvalid(info direct.ResponseInfo) {
+	l.invalid.Inc(1)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if time.Since(l.invalidAt) < invalidLogInterval {
+		return
+	}
+	l.invalidAt = time.Now()
+	log.WithField("server", info.Server.ID).WithField("limit", info.Limit.Invalid).Warn("invalid server limit, the last known one stays")
+}
+
+// dump returns a server's limit for operators, or nil if it announces none.
+func (l *serverLimits) dump(server string) *LimitDump {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	perSecond, ok := l.table.Limit(server)
+	if !ok {
+		return nil
+	}
+	return &LimitDump{PerSecond: perSecond, Share: l.table.Share(boottime.Now(), server)}
+}
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -1,5 +1,5 @@
-// Package routes is the operator's configuration as the gateway uses it: which
-// service a request goes to, how often it may run, and how long it may take.
+// Package routes holds the gateway's routing table, built from the operators'
+// configuration: the service of a request, how often it may run and its timeout.
 package routes
 
 import (
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// Kind says what may be done with a request whose outcome is unknown.
+// Kind determines whether a request with unknown outcome may be retried.
 type Kind uint8
 
 const (
 	// Unsafe requests run at most once.
 	Unsafe Kind = iota
-	// Safe requests are idempotent.
+	// Safe requests are idempotent and may be retried.
 	Safe
-	// Stream requests answer with a series of events. They run at most once,
+	// Stream requests are answered with a stream of events. They run at most once,
 	// unless the route is resumable.
 	Stream
 )
 
-// String returns the name used in logs.
+// String returns the name used in logs and metrics.
 func (k Kind) String() string {
 	switch k {
 	case Safe:
@@ -34,33 +34,34 @@
 	}
 }
 
-// Route is one rule of the table.
+// Route maps requests by host and path prefix to services.
 type Route struct {
 	Name string
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time that a caller is kept waiting.
+	// Timeout is the upper limit of a caller's timeout.
 	Timeout time.Duration
-	// Objective is the time to the first event of a stream, or to the whole
-	// answer, within which an answer is worth most.
+	// Objective is the latency objective: the time to the first event of a stream, or
+	// to the complete response, within which a response has its full value.
 	LatencyObjective time.Duration
-	// Pause is the longest time between two events of an answer in time; 0 is unknown.
+	// InterEventObjective is the longest time between two events of a stream that is
+	// on time, 0 if unknown.
 	InterEventObjective time.Duration
-	// Priority ranks routes; 0 is the most urgent.
+	// Priority is the priority of the route's requests; 0 is the most urgent.
 	Priority int
-	// Attempts is how many backend servers one request may be run on.
+	// Attempts is the maximum number of backend servers that may run one request.
 	MaxAttempts int
-	// Targets are the services that share the route's requests.
+	// Targets are the services among which requests are distributed.
 	Targets []Target
-	// Model says that requests carry prompts for model engines.
+	// Model is set if requests carry prompts for model engines.
 	Model bool
-	// Resumable says that a stream may go on at another backend server.
+	// Resumable is set if a stream may be resumed at another backend server.
 	Resumable bool
 }
 
-// Target is a service's share of a route.
+// Target is a service of a route with its weight.
 type Target struct {
 	Service string
 	Weight  int
@@ -70,8 +71,8 @@
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConns bounds the connections that one backend server accepts from all
-	// callers together; 0 is unknown.
+	// MaxConns is the number of connections that one backend server accepts from all
+	// callers together, 0 if unknown.
 	MaxConns int
 	// Engine is nil for a plain service.
 	Engine *Engine
@@ -79,22 +80,22 @@
 
 // Engine describes the model engines of a service.
 type Engine struct {
-	// Slots is how many requests an engine runs at once.
+	// Slots is the number of requests that an engine runs concurrently.
 	Slots int
-	// KVTokens is the KV cache of one engine, in tokens.
+	// KVTokens is the size of one engine's KV cache in tokens.
 	KVTokens int
-	// KVTokenBytes is the size of one token's KV cache.
+	// KVTokenBytes is the size of one token's KV cache in bytes.
 	KVTokenBytes float64
-	// LinkMbps is the speed at which an engine sends or receives KV cache, in
+	// LinkMbps is the bandwidth at which an engine sends or receives KV cache, in
 	// megabits per second.
 	LinkMbps float64
-	// HandleTTL is how long an engine keeps prefilled KV cache for another.
+	// HandleTTL is how long an engine holds prefilled KV cache for another engine.
 	HandleTTL time.Duration
-	// SwitchTime is how long a change of role takes an engine away.
+	// SwitchTime is how long an engine is unavailable during a change of role.
 	SwitchTime time.Duration
 }
 
-// Limits bound what a caller may send.
+// Limits are the limits on callers' requests and connections.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -103,7 +104,7 @@
 	IdleTimeout time.Duration
 }
 
-// Table is one version of the configuration. It is immutable once built.
+// Table is one version of the routing table. It is immutable.
 type Table struct {
 	Version  int64
 	Services map[string]Service
@@ -112,7 +113,7 @@
 	byHost map[string][]Route
 }
 
-// New returns a Table of the routes.
+// New returns a Table. Within a host, routes with longer prefixes come first.
 func New(version int64, rules []Route, services []Service, limits Limits) *Table {
 	t := &Table{
 		Version:  version,
@@ -135,25 +136,25 @@
 	return t
 }
 
-// LongestAnswer returns how many of the longest pauses between its events an answer
-// of a service's model routes may last.
+// MaxAnswerEvents returns how many events an answer of a service's model routes can
+// have if they come at the inter-event objective and the answer completes in time.
 func (t *Table) MaxAnswerEvents(service string) int {
-	longest := 0
+	limit := 0
 	for _, rules := range t.byHost {
 		for _, r := range rules {
-			if r.Model && r.InterEventObjective > 0 && r.goesTo(service) {
-				longest = max(longest, int((r.Timeout-r.LatencyObjective)/r.InterEventObjective))
+			if r.Model && r.InterEventObjective > 0 && r.hasTarget(service) {
+				limit = max(limit, int((r.Timeout-r.LatencyObjective)/r.InterEventObjective))
 			}
 		}
 	}
-	return longest
+	return limit
 }
 
-func (r Route) goesTo(service string) bool {
+func (r Route) hasTarget(service string) bool {
 	return slices.ContainsFunc(r.Targets, func(t Target) bool { return t.Service == service })
 }
 
-// Match returns the route of the host with the longest prefix of the path.
+// Match returns the host's route with the longest matching path prefix.
 func (t *Table) Match(host, path string) (Route, bool) {
 	host = strings.ToLower(host)
 	rules, ok := t.byHost[host]
@@ -184,17 +185,17 @@
 	return host
 }
 
-// Choose returns the service of a request by the targets' weights; point is
-// uniform in [0, 1).
+// Choose selects a service at random by the targets' weights. The caller passes a
+// random point uniformly distributed in [0, 1).
 func (r Route) Choose(point float64) string {
 	total := 0
 	for _, t := range r.Targets {
 		total += max(0, t.Weight)
 	}
-	left := point * float64(total)
+	remaining := point * float64(total)
 	for _, t := range r.Targets {
-		left -= float64(max(0, t.Weight))
-		if left < 0 {
+		remaining -= float64(max(0, t.Weight))
+		if remaining < 0 {
 			return t.Service
 		}
 	}
