--- a/internal/entry/call/attempt.go
+++ b/internal/entry/call/attempt.go
@@ -9,146 +9,150 @@
 	"pistachioroad.dev/pistachioroad/internal/wire"
 )
 
-// attempt is one Start and what came back for it.
+// attempt is the state of one Start and of the frames received for it.
 type attempt struct {
 	number      uint32
 	server      string
 	incarnation string
 	prefill     bool
 	sent        bool
-	lost        bool
+	streamLost  bool
 	verdict     verdict.Verdict
 
-	// resumeFrom is the output token that the attempt's answer begins with.
+	// resumeFrom is the index of the output token that the attempt's answer
+	// begins with.
 	resumeFrom uint32
-	// next is the sequence number of the chunk that is due; digest sums up
-	// those before it.
-	next   uint32
-	digest *wire.Digest
-	// held is the answer so far of a request that cannot be resumed.
-	held       []byte
-	heldTokens uint32
-
-	// asked says that a Resolve is outstanding; resolveAt is when to ask again,
-	// or when to stop waiting for the answer.
-	asked     bool
-	resolveAt time.Time
-	giveUpAt  time.Time
-	poll      time.Duration
-	// progressed says that a chunk came after the outcome became unknown.
-	progressed bool
+	// nextSequence is the sequence number of the next expected chunk; digest
+	// covers the chunks before it.
+	nextSequence uint32
+	digest       *wire.Digest
+	// buffered is the answer so far of a request that is not resumable.
+	buffered       []byte
+	bufferedTokens uint32
+
+	// resolvePending reports that a Resolve is outstanding. resolveAt is when
+	// that one times out, or when the next one is due.
+	resolvePending  bool
+	resolveAt       time.Time
+	resolveDeadline time.Time
+	pollInterval    time.Duration
+	// streamActive reports that a chunk arrived after the outcome became unknown.
+	streamActive bool
 }
 
-// own reports whether a frame belongs to the current attempt of this request.
+// belongsToAttempt reports whether a frame belongs to the current attempt of
+// this request, and counts the frames that do not.
 //
-// Frames that answer another request, or an earlier attempt, can turn up when
-// a peer mixes up its streams or a result is kept under the wrong id. Passed
-// on, they would put a stranger's text into this caller's answer, and neither
-// caller could tell. They are dropped and counted.
-func (m *Machine) own(id []byte, number uint32) bool {
-	if bytes.Equal(id, m.spec.ID[:]) && number == m.cur.number {
+// Frames of another request or an earlier attempt can arrive when a peer mixes
+// up its streams or stores a result under the wrong id. Passing them on would
+// mix another caller's text into this answer without either caller noticing,
+// so they are dropped.
+func (m *Machine) belongsToAttempt(id []byte, number uint32) bool {
+	if bytes.Equal(id, m.spec.ID[:]) && number == m.current.number {
 		return true
 	}
-	foreignFrames.Inc(1)
+	mismatchedFrames.Inc(1)
 	return false
 }
 
 func (m *Machine) chunk(now time.Time, c *wire.Chunk) {
-	if !m.own(c.GetRequestId(), c.GetAttempt()) {
+	if !m.belongsToAttempt(c.GetRequestId(), c.GetAttempt()) {
 		return
 	}
-	if c.GetSequence() != m.cur.next {
-		repeatedChunk.Inc(1)
+	if c.GetSequence() != m.current.nextSequence {
+		outOfOrderChunks.Inc(1)
 		return
 	}
-	m.cur.progressed = true
-	m.take(now, c)
+	m.current.streamActive = true
+	m.appendChunk(now, c)
 }
 
-// take adds the chunk that is due to the answer.
-func (m *Machine) take(now time.Time, c *wire.Chunk) {
-	invariant.Check(c.GetSequence() == m.cur.next, "own whole answer",
-		"request %s: chunk %d in place of %d", m.spec.ID, c.GetSequence(), m.cur.next)
-	m.cur.next++
-	m.cur.digest.Add(c)
-	// The next planned change is another one, with a wait of its own.
-	m.waitEnd = time.Time{}
-	if len(m.text)+len(m.cur.held)+len(c.GetData()) > m.spec.MaxAnswer {
+// appendChunk adds the next expected chunk to the answer.
+func (m *Machine) appendChunk(now time.Time, c *wire.Chunk) {
+	invariant.Check(c.GetSequence() == m.current.nextSequence, "own whole answer",
+		"request %s: got chunk %d, expected %d", m.spec.ID, c.GetSequence(), m.current.nextSequence)
+	m.current.nextSequence++
+	m.current.digest.Add(c)
+	// A planned change after this chunk is a new one, with its full MaxChangeWait.
+	m.waitDeadline = time.Time{}
+	if len(m.deliveredText)+len(m.current.buffered)+len(c.GetData()) > m.spec.MaxAnswerBytes {
 		m.cancel()
 		m.fail(verdict.New(verdict.MayHaveRun, verdict.CodeAnswerBroken, "the answer is too large"))
 		return
 	}
-	if m.cur.prefill {
+	if m.current.prefill {
 		return
 	}
 	if !m.spec.Resumable {
-		m.cur.held = append(m.cur.held, c.GetData()...)
-		m.cur.heldTokens += c.GetTokens()
+		m.current.buffered = append(m.current.buffered, c.GetData()...)
+		m.current.bufferedTokens += c.GetTokens()
 		return
 	}
-	m.text = append(m.text, c.GetData()...)
+	m.deliveredText = append(m.deliveredText, c.GetData()...)
 	m.deliver(c.GetData(), c.GetTokens())
 }
 
 func (m *Machine) deliver(data []byte, tokens uint32) {
-	m.tokens += tokens
+	m.deliveredTokens += tokens
 	m.emit(Deliver{Data: data, Tokens: tokens})
 }
 
-// final ends the attempt if its answer is whole.
+// final handles the Final frame: it completes the attempt, or resolves its
+// outcome if chunks are missing.
 func (m *Machine) final(now time.Time, f *wire.Final) {
-	if !m.own(f.GetRequestId(), f.GetAttempt()) {
+	if !m.belongsToAttempt(f.GetRequestId(), f.GetAttempt()) {
 		return
 	}
-	if !m.cur.digest.Matches(f) {
-		brokenAnswers.Inc(1)
-		m.cur.lost = true
+	if !m.current.digest.Matches(f) {
+		incompleteAnswers.Inc(1)
+		m.current.streamLost = true
 		m.outcomeUnknown(now, "its answer has gaps")
 		return
 	}
-	m.whole(now, f)
+	m.answerComplete(now, f)
 }
 
-// whole takes the end of an answer of which nothing is missing.
-func (m *Machine) whole(now time.Time, f *wire.Final) {
-	m.cur.verdict = verdict.Ran
-	if m.cur.prefill {
-		// The prefill is only a part of the request.
-		m.cur.verdict = verdict.MayHaveRun
-		m.decodeNow(now, f.GetKv(), "prefilled at "+m.cur.server)
+// answerComplete completes an attempt after all of its chunks were received.
+func (m *Machine) answerComplete(now time.Time, f *wire.Final) {
+	m.current.verdict = verdict.Ran
+	if m.current.prefill {
+		// The prefill is only the first phase of the request.
+		m.current.verdict = verdict.MayHaveRun
+		m.startDecode(now, f.GetKv(), "prefilled at "+m.current.server)
 		return
 	}
-	invariant.Check(m.cur.digest.Matches(f), "own whole answer",
-		"request %s ends after %d chunks of %d", m.spec.ID, m.cur.next, f.GetChunks())
+	invariant.Check(m.current.digest.Matches(f), "own whole answer",
+		"request %s ends after %d chunks of %d", m.spec.ID, m.current.nextSequence, f.GetChunks())
 	if !m.spec.Resumable {
-		m.deliver(m.cur.held, m.cur.heldTokens)
+		m.deliver(m.current.buffered, m.current.bufferedTokens)
 	}
-	m.emit(Finish{Final: f, Tokens: m.tokens, Server: m.cur.server})
+	m.emit(Finish{Final: f, Tokens: m.deliveredTokens, Server: m.current.server})
 	m.phase = ended
 }
 
-// decodeNow goes from the prefill to the decode engine. Without a ticket that
-// engine prefills the prompt itself.
-func (m *Machine) decodeNow(now time.Time, kv *wire.KVTicket, why string) {
-	server := m.decode
-	m.explain("decode at "+server, why)
-	m.archive()
-	m.decode = ""
-	m.send(now, server, kv)
+// startDecode moves on from the prefill attempt to the decode engine. Without a
+// KV ticket the decode engine prefills the prompt itself.
+func (m *Machine) startDecode(now time.Time, kv *wire.KVTicket, reason string) {
+	server := m.decodeServer
+	m.explain("decode at "+server, reason)
+	m.beginAttempt()
+	m.decodeServer = ""
+	m.sendStart(now, server, kv)
 }
 
-// notSent takes back that the attempt may run.
+// notSent records that the attempt did not run; it is ignored if the attempt was
+// sent.
 func (m *Machine) notSent(now time.Time) {
-	if m.cur.sent || m.cur.next > 0 {
+	if m.current.sent || m.current.nextSequence > 0 {
 		staleEvents.Inc(1)
 		return
 	}
-	m.cur.verdict = verdict.NotRun
-	m.again(now, verdict.New(verdict.NotRun, verdict.CodeNoBackend, "the backend server cannot be reached"))
+	m.current.verdict = verdict.NotRun
+	m.retryOrFail(now, verdict.New(verdict.NotRun, verdict.CodeNoBackend, "the backend server cannot be reached"))
 }
 
-func (m *Machine) refused(now time.Time, r *wire.Refusal) {
-	if !m.own(r.GetRequestId(), r.GetAttempt()) {
+func (m *Machine) refusal(now time.Time, r *wire.Refusal) {
+	if !m.belongsToAttempt(r.GetRequestId(), r.GetAttempt()) {
 		return
 	}
 	err := &verdict.Error{
@@ -157,16 +161,17 @@
 		Message:    r.GetMessage(),
 		RetryAfter: time.Duration(r.GetRetryAfterMs()) * time.Millisecond,
 	}
-	if m.cur.next > 0 {
-		// An attempt that began to answer did run, whatever its refusal says.
+	if m.current.nextSequence > 0 {
+		// An attempt that sent a chunk has started, whatever verdict its refusal
+		// carries.
 		err.Verdict = verdict.Worst(err.Verdict, verdict.MayHaveRun)
 	}
-	m.cur.verdict = err.Verdict
-	if !m.cur.prefill && isFinal(err) {
+	m.current.verdict = err.Verdict
+	if !m.current.prefill && isTerminal(err) {
 		m.fail(err)
 		return
 	}
-	m.again(now, err)
+	m.retryOrFail(now, err)
 }
 
 func verdictOf(v wire.Verdict) verdict.Verdict {
@@ -180,8 +185,9 @@
 	}
 }
 
-// isFinal reports whether another backend server would refuse as well.
-func isFinal(err *verdict.Error) bool {
+// isTerminal reports whether a retry at another backend server is pointless or
+// not allowed: it would be rejected as well, or the request has already run.
+func isTerminal(err *verdict.Error) bool {
 	switch err.Code {
 	case verdict.CodeBadRequest, verdict.CodeTooLarge, verdict.CodeKeyInProgress, verdict.CodeKeyReused,
 		verdict.CodeDeadlineExceeded, verdict.CodeCancelled, verdict.CodeStoreUnavailable:
@@ -191,40 +197,40 @@
 	}
 }
 
-// again makes another attempt where the verdict allows one, after the current
-// one ended with err.
-func (m *Machine) again(now time.Time, err *verdict.Error) {
-	if m.cur.prefill && !m.expiring {
-		m.decodeNow(now, nil, "no prefill at "+m.cur.server+": "+err.Message)
+// retryOrFail starts another attempt after the current one failed with err, or
+// fails the request if its verdict or MaxAttempts does not allow one.
+func (m *Machine) retryOrFail(now time.Time, err *verdict.Error) {
+	if m.current.prefill && !m.deadlinePassed {
+		m.startDecode(now, nil, "no prefill at "+m.current.server+": "+err.Message)
 		return
 	}
-	if m.expiring {
-		m.failDeadline()
+	if m.deadlinePassed {
+		m.failDeadlineExceeded()
 		return
 	}
-	notRun := m.cur.verdict == verdict.NotRun
-	if len(m.past)+1 >= MaxAttempts || (!notRun && !m.spec.Idempotent) {
+	notRun := m.current.verdict == verdict.NotRun
+	if len(m.pastVerdicts)+1 >= MaxAttempts || (!notRun && !m.spec.Idempotent) {
 		m.fail(err)
 		return
 	}
 	m.lastErr = err
 	retries.Inc(1)
-	m.explain("tried again", "attempt at "+m.cur.server+": "+err.Error())
-	retry := &Retry{NotRun: notRun, Sent: m.cur.sent, ServerDraining: err.Code == verdict.CodeDraining}
+	m.explain("tried again", "attempt at "+m.current.server+": "+err.Error())
+	retry := &Retry{NotRun: notRun, Sent: m.current.sent, ServerDraining: err.Code == verdict.CodeDraining}
 	if m.spec.Keyed {
-		m.againKeyed(now, err, retry)
+		m.retryKeyed(now, err, retry)
 		return
 	}
-	m.excluded = append(m.excluded, m.cur.server)
-	m.route(now, retry)
+	m.excluded = append(m.excluded, m.current.server)
+	m.routeNext(now, retry)
 }
 
-// againKeyed waits: only the owner of the key slot may run the request, and
-// that is moving, restarting or busy.
-func (m *Machine) againKeyed(now time.Time, err *verdict.Error, retry *Retry) {
-	if !m.mayWait(now) {
+// retryKeyed retries a keyed request after a delay: only the owner of its key
+// slot may run it, and the slot is moving, or its owner restarting or busy.
+func (m *Machine) retryKeyed(now time.Time, err *verdict.Error, retry *Retry) {
+	if !m.mayWaitLonger(now) {
 		m.fail(err)
 		return
 	}
-	m.routeLater(now, retry, err.RetryAfter)
+	m.routeNextAfter(now, retry, err.RetryAfter)
 }
--- a/internal/entry/call/call.go
+++ b/internal/entry/call/call.go
@@ -1,9 +1,9 @@
-// Package call is the state machine of one request at an entry: its attempts,
-// what became of them, and what the caller is told.
+// Package call implements the state machine of one request at an entry: its
+// attempts, their outcomes, and the result reported to the caller.
 //
 // The machine has no clock, no goroutine and no I/O. Its driver passes events
-// to Step and carries out the effects returned; the daemon and the randomised
-// runs drive the same machine.
+// to Step and carries out the returned effects; the daemon and the randomised
+// tests drive the same machine.
 package call
 
 import (
@@ -16,86 +16,90 @@
 )
 
 const (
-	// MaxAttempts bounds the attempts of one request, whatever the retry
-	// budget holds.
+	// MaxAttempts limits the attempts of one request, even when the retry
+	// budget would allow more.
 	MaxAttempts = 8
-	// DefaultMaxAnswer bounds an answer in bytes, which is held until it is
-	// whole, or as the text to resume from.
-	DefaultMaxAnswer = 8 << 20
+	// DefaultMaxAnswerBytes limits the size of an answer, because it is held in
+	// memory until it is complete, or as the text to resume from.
+	DefaultMaxAnswerBytes = 8 << 20
 	// DeadlineGrace is how long after the deadline the machine waits for the
-	// sidecar's answer to the Cancel: a sidecar that had not started the
-	// request says so, and the caller learns "not run" in place of "may have
-	// run".
+	// sidecar's response to the Cancel: if the sidecar confirms that it had not
+	// started the request, the caller gets "not run" instead of "may have run".
 	DeadlineGrace = 100 * time.Millisecond
-	// ResolveTimeout is how long one Resolve may take.
+	// ResolveTimeout limits one Resolve.
 	ResolveTimeout = time.Second
-	// ResolveFor is how long the machine goes on asking for the outcome of a
-	// request that may not be repeated. A sidecar that restarted answers
-	// within it; a partition may outlast it.
-	ResolveFor = 5 * time.Second
-	// PollMin and PollMax bound the wait between two Resolves of a request
-	// that still runs.
-	PollMin = 50 * time.Millisecond
-	PollMax = time.Second
-	// WaitFor bounds the waits of one request for a planned change to finish,
-	// as when a key slot moves to another owner.
-	WaitFor = 5 * time.Second
-	// WaitMin and WaitMax bound one such wait.
-	WaitMin = 50 * time.Millisecond
-	WaitMax = 500 * time.Millisecond
-	// DefaultRetryAfter is told where nothing names a better time.
+	// MaxResolveDuration is how long the machine keeps querying the outcome of a
+	// request that may not be repeated. It is long enough for a sidecar to
+	// restart and respond; a network partition may last longer.
+	MaxResolveDuration = 5 * time.Second
+	// MinPollInterval and MaxPollInterval bound the time between two Resolves
+	// of a request that is still running.
+	MinPollInterval = 50 * time.Millisecond
+	MaxPollInterval = time.Second
+	// MaxChangeWait limits how long a request waits for a planned change to
+	// finish, such as a key slot moving to another owner.
+	MaxChangeWait = 5 * time.Second
+	// MinRouteDelay and MaxRouteDelay bound the delay before each further Route
+	// during that wait.
+	MinRouteDelay = 50 * time.Millisecond
+	MaxRouteDelay = 500 * time.Millisecond
+	// DefaultRetryAfter is the retry delay suggested to the caller when the
+	// error has none of its own.
 	DefaultRetryAfter = time.Second
 )
 
-// Spec is what the machine needs to know of a request.
+// Spec describes a request to the machine.
 type Spec struct {
 	ID       uuid.UUID
 	Deadline time.Time
-	// Idempotent requests may be tried again after an unknown outcome.
+	// Idempotent requests may be retried after an unknown outcome.
 	Idempotent bool
-	// Resumable answers can be continued elsewhere from what was delivered, and
-	// are delivered piece by piece; others are delivered once they are whole.
-	// A resumable request is idempotent.
+	// Resumable answers can be continued by another backend server from what
+	// was delivered, and are streamed chunk by chunk; others are delivered once
+	// they are complete. A resumable request is idempotent.
 	Resumable bool
-	// Keyed requests carry an idempotency key: their caller may ask again
+	// Keyed requests carry an idempotency key: their caller may retry them
 	// whatever the verdict.
 	Keyed bool
-	// MaxAnswer bounds the answer in bytes; 0 means DefaultMaxAnswer.
-	MaxAnswer int
+	// MaxAnswerBytes limits the size of the answer; 0 means
+	// DefaultMaxAnswerBytes.
+	MaxAnswerBytes int
 }
 
-// Machine is the state machine of one request. It is for one goroutine.
+// Machine is the state machine of one request. It is not safe for concurrent
+// use.
 type Machine struct {
-	spec  Spec
-	phase phase
-	cur   attempt
-	// past holds the verdicts of the attempts before the current one.
-	past     []verdict.Verdict
-	excluded []string
-	// decode is the backend server that waits for the KV cache of a prefill.
-	decode string
-	// text and tokens are the output delivered.
-	text     []byte
-	tokens   uint32
-	expiring bool
-	lastErr  *verdict.Error
-	// retry is that of the Route which waits; waitUntil is when it is asked
-	// for, waitEnd when waiting ends for good.
-	retry     *Retry
-	waitUntil time.Time
-	waitEnd   time.Time
-	effects   []Effect
+	spec    Spec
+	phase   phase
+	current attempt
+	// pastVerdicts are those of the attempts before the current one.
+	pastVerdicts []verdict.Verdict
+	excluded     []string
+	// decodeServer is the backend server that generates the answer after the
+	// prefill attempt.
+	decodeServer string
+	// deliveredText is recorded for resumable requests only, to resume from.
+	deliveredText   []byte
+	deliveredTokens uint32
+	deadlinePassed  bool
+	lastErr         *verdict.Error
+	// retry belongs to the next Route, which is due at routeAt. waitDeadline
+	// ends the wait for a planned change; a chunk resets it to zero.
+	retry        *Retry
+	routeAt      time.Time
+	waitDeadline time.Time
+	effects      []Effect
 }
 
 type phase uint8
 
 const (
 	idle phase = iota
-	// routing: a Route is outstanding, no attempt is.
+	// routing: a Route is outstanding; no attempt is in flight.
 	routing
-	// waiting: a Route will be asked for at waitUntil.
-	waiting
-	// running: a Start was or is being sent.
+	// routeDelayed: the next Route is due at routeAt.
+	routeDelayed
+	// running: a Start was sent or is being sent.
 	running
 	// resolving: the outcome of the attempt is unknown.
 	resolving
@@ -103,56 +107,56 @@
 )
 
 var (
-	foreignFrames = metrics.GetOrRegisterCounter("call.frames.foreign", nil)
-	staleEvents   = metrics.GetOrRegisterCounter("call.events.stale", nil)
-	repeatedChunk = metrics.GetOrRegisterCounter("call.chunks.out_of_order", nil)
-	brokenAnswers = metrics.GetOrRegisterCounter("call.answers.broken", nil)
-	resumes       = metrics.GetOrRegisterCounter("call.resumed", nil)
-	retries       = metrics.GetOrRegisterCounter("call.retried", nil)
-	resolves      = metrics.GetOrRegisterCounter("call.resolves", nil)
+	mismatchedFrames  = metrics.GetOrRegisterCounter("call.frames.foreign", nil)
+	staleEvents       = metrics.GetOrRegisterCounter("call.events.stale", nil)
+	outOfOrderChunks  = metrics.GetOrRegisterCounter("call.chunks.out_of_order", nil)
+	incompleteAnswers = metrics.GetOrRegisterCounter("call.answers.broken", nil)
+	resumes           = metrics.GetOrRegisterCounter("call.resumed", nil)
+	retries           = metrics.GetOrRegisterCounter("call.retried", nil)
+	resolves          = metrics.GetOrRegisterCounter("call.resolves", nil)
 )
 
 // New returns the Machine of a request.
 func New(spec Spec) *Machine {
-	if spec.MaxAnswer <= 0 {
-		spec.MaxAnswer = DefaultMaxAnswer
+	if spec.MaxAnswerBytes <= 0 {
+		spec.MaxAnswerBytes = DefaultMaxAnswerBytes
 	}
 	spec.Idempotent = spec.Idempotent || spec.Resumable
 	return &Machine{spec: spec}
 }
 
-// Ended reports whether Finish or Fail has been returned.
+// Ended reports whether a Finish or Fail effect has been returned.
 func (m *Machine) Ended() bool { return m.phase == ended }
 
-// Attempt returns the number of the current attempt, from 1.
-func (m *Machine) Attempt() uint32 { return m.cur.number }
+// Attempt returns the number of the current attempt, counted from 1.
+func (m *Machine) Attempt() uint32 { return m.current.number }
 
-// Verdict returns the verdict over all attempts so far.
+// Verdict returns the worst verdict of all attempts so far.
 func (m *Machine) Verdict() verdict.Verdict {
-	worst := m.cur.verdict
-	for _, v := range m.past {
+	worst := m.current.verdict
+	for _, v := range m.pastVerdicts {
 		worst = verdict.Worst(worst, v)
 	}
 	return worst
 }
 
-// Next returns when the next Timer event is due.
+// NextTimer returns when the next Timer event is due.
 func (m *Machine) NextTimer() time.Time {
 	next := m.spec.Deadline
-	if m.expiring {
+	if m.deadlinePassed {
 		next = m.spec.Deadline.Add(DeadlineGrace)
 	}
-	if m.phase == resolving && m.cur.resolveAt.Before(next) {
-		next = m.cur.resolveAt
+	if m.phase == resolving && m.current.resolveAt.Before(next) {
+		next = m.current.resolveAt
 	}
-	if m.phase == waiting && m.waitUntil.Before(next) {
-		next = m.waitUntil
+	if m.phase == routeDelayed && m.routeAt.Before(next) {
+		next = m.routeAt
 	}
 	return next
 }
 
-// Step takes one event and returns the effects to carry out. After the end of
-// the request it returns none.
+// Step processes one event and returns the effects to carry out. It returns
+// none once the request has finished.
 func (m *Machine) Step(now time.Time, event Event) []Effect {
 	if m.phase == ended {
 		staleEvents.Inc(1)
@@ -175,7 +179,7 @@
 	case Unroutable:
 		m.unroutable(now, e)
 	case CallerDisconnected:
-		m.callerGone()
+		m.callerDisconnected()
 	case Timer:
 		m.timer(now)
 	default:
@@ -188,20 +192,21 @@
 		staleEvents.Inc(1)
 		return
 	}
-	m.route(now, nil)
+	m.routeNext(now, nil)
 }
 
-// dispatchAttempt takes the events of the current attempt.
+// dispatchAttempt handles the events of the current attempt and drops those of
+// earlier ones.
 func (m *Machine) dispatchAttempt(now time.Time, event Event) {
-	of, ok := event.(attemptEvent)
-	if !ok || of.attempt() != m.cur.number || !m.inFlight() {
+	ofAttempt, ok := event.(attemptEvent)
+	if !ok || ofAttempt.attempt() != m.current.number || !m.inFlight() {
 		staleEvents.Inc(1)
 		return
 	}
 	switch e := event.(type) {
 	case Sent:
-		m.cur.sent = true
-		m.cur.incarnation = e.Incarnation
+		m.current.sent = true
+		m.current.incarnation = e.Incarnation
 	case NotSent:
 		m.notSent(now)
 	case Chunk:
@@ -209,9 +214,9 @@
 	case Final:
 		m.final(now, e.Frame)
 	case Refusal:
-		m.refused(now, e.Frame)
+		m.refusal(now, e.Frame)
 	case StreamLost:
-		m.cur.lost = true
+		m.current.streamLost = true
 		m.outcomeUnknown(now, "its stream ended")
 	case LinkSilent:
 		m.outcomeUnknown(now, "its link is silent")
@@ -226,15 +231,15 @@
 
 func (m *Machine) emit(e Effect) { m.effects = append(m.effects, e) }
 
-func (m *Machine) explain(decision, why string) {
-	m.emit(Explain{Decision: decision, Reason: why})
+func (m *Machine) explain(decision, reason string) {
+	m.emit(Explain{Decision: decision, Reason: reason})
 }
 
 func (m *Machine) timer(now time.Time) {
 	switch {
-	case m.phase == resolving && !now.Before(m.cur.resolveAt):
+	case m.phase == resolving && !now.Before(m.current.resolveAt):
 		m.resolveDue(now)
-	case m.phase == waiting && !now.Before(m.waitUntil) && now.Before(m.spec.Deadline):
-		m.askRoute(now)
+	case m.phase == routeDelayed && !now.Before(m.routeAt) && now.Before(m.spec.Deadline):
+		m.requestRoute(now)
 	}
 }
--- a/internal/entry/call/call_test.go
+++ b/internal/entry/call/call_test.go
@@ -26,10 +26,10 @@
 
 var (
 	requestID = uuid.MustParse("01890000-0000-7000-8000-000000000001")
-	begin     = time.Unix(1_000, 0)
+	startTime = time.Unix(1_000, 0)
 )
 
-// fixture drives one machine and keeps what it asked for last.
+// fixture drives one machine and records the effects of the last step.
 type fixture struct {
 	machine   *call.Machine
 	now       time.Time
@@ -39,8 +39,8 @@
 
 func newFixture(spec call.Spec) *fixture {
 	spec.ID = requestID
-	spec.Deadline = begin.Add(time.Minute)
-	f := &fixture{machine: call.New(spec), now: begin}
+	spec.Deadline = startTime.Add(time.Minute)
+	f := &fixture{machine: call.New(spec), now: startTime}
 	f.step(call.Begin{})
 	return f
 }
@@ -54,7 +54,7 @@
 	}
 }
 
-// sendTo routes the current attempt and sends it.
+// sendTo routes the current attempt to server and reports it as sent.
 func (f *fixture) sendTo(server string) {
 	f.step(call.Routed{Attempt: f.machine.Attempt(), Server: server})
 	f.step(call.Sent{Attempt: f.machine.Attempt(), Incarnation: "life-1"})
@@ -87,7 +87,7 @@
 	return &wire.Chunk{RequestId: id[:], Attempt: attempt, Sequence: sequence, Data: []byte(data), Tokens: 1}
 }
 
-// answer returns the chunks of a whole answer and its final frame.
+// answer returns the chunks of a complete answer and its Final frame.
 func answer(id uuid.UUID, attempt uint32, data ...string) ([]*wire.Chunk, *wire.Final) {
 	digest := wire.NewDigest()
 	chunks := []*wire.Chunk{}
@@ -102,7 +102,7 @@
 }
 
 var _ = Describe("Machine", func() {
-	It("delivers a whole answer piece by piece", func() {
+	It("delivers a complete answer chunk by chunk", func() {
 		f := newFixture(call.Spec{Resumable: true})
 		f.sendTo("a")
 		chunks, final := answer(requestID, 1, "x", "y")
@@ -115,9 +115,8 @@
 		Expect(finished).To(BeTrue())
 	})
 
-	// Two requests share a link, and a frame of the one turns up on the stream
-	// of the other. The caller would read a stranger's text in the middle of
-	// the own answer.
+	// Guards against mixed-up answers: two requests share a link, and a frame of
+	// one arrives on the stream of the other.
 	It("drops a frame of another request", func() {
 		f := newFixture(call.Spec{Resumable: true})
 		f.sendTo("a")
@@ -125,9 +124,9 @@
 		Expect(f.delivered).To(BeEmpty())
 	})
 
-	// A frame is lost on the way, and the end of the answer arrives. Without
-	// the count and the digest the caller would take the rest for the whole.
-	It("takes no answer with a gap for whole", func() {
+	// Guards against truncated answers: a chunk is lost and the Final frame
+	// arrives. Chunk count and digest in the Final frame reveal the loss.
+	It("does not complete an answer with a missing chunk", func() {
 		f := newFixture(call.Spec{})
 		f.sendTo("a")
 		chunks, final := answer(requestID, 1, "x", "y")
@@ -139,9 +138,9 @@
 		Expect(f.delivered).To(BeEmpty())
 	})
 
-	// An engine dies in the middle of a draft. The caller sees one answer
-	// without a seam, continued from the words that were delivered.
-	It("resumes a broken generation elsewhere", func() {
+	// An engine crashes while generating. Another one continues from the text
+	// that was delivered, so that the caller gets one gapless answer.
+	It("resumes an interrupted generation at another engine", func() {
 		f := newFixture(call.Spec{Resumable: true})
 		f.sendTo("a")
 		f.step(call.Chunk{Attempt: 1, Frame: chunk(requestID, 1, 0, "x")})
@@ -156,10 +155,10 @@
 		Expect(start.ResumeText).To(Equal("x"))
 	})
 
-	// The connection to a busy engine goes silent, a new one works. The draft
-	// goes on where it runs; begun anew elsewhere, its long prompt would be
-	// read twice.
-	It("takes a running stream over on a new connection", func() {
+	// Guards against a second prefill of a long prompt: the connection to a busy
+	// engine goes silent while a new one works, so the request continues where
+	// it runs.
+	It("reattaches to a running stream on a new connection", func() {
 		f := newFixture(call.Spec{Resumable: true})
 		f.sendTo("a")
 		f.step(call.Chunk{Attempt: 1, Frame: chunk(requestID, 1, 0, "x")})
@@ -171,9 +170,8 @@
 		Expect(start.ResumeFrom).To(BeEquivalentTo(1))
 	})
 
-	// A key slot moves to another owner while a hold for it arrives. The hold
-	// waits for the new owner; refused, the booker would see an error for a
-	// change that operators planned.
+	// Guards against errors during a planned change: a keyed request arrives while
+	// its key slot moves to another owner, and waits for the new owner.
 	It("waits for the next owner of a key slot", func() {
 		f := newFixture(call.Spec{Keyed: true})
 		f.sendTo("a")
@@ -181,7 +179,7 @@
 			RequestId: requestID[:], Attempt: 1, Code: string(verdict.CodeNoBackend), RetryAfterMs: 100,
 		}})
 		Expect(f.effects).NotTo(ContainElement(BeAssignableToTypeOf(call.Route{})))
-		Expect(f.machine.NextTimer()).To(Equal(begin.Add(100 * time.Millisecond)))
+		Expect(f.machine.NextTimer()).To(Equal(startTime.Add(100 * time.Millisecond)))
 		f.now = f.machine.NextTimer()
 		f.step(call.Timer{})
 		route, ok := effectOf[call.Route](f)
@@ -189,17 +187,17 @@
 		Expect(route.Excluded).To(BeEmpty())
 	})
 
-	// Two engines in turn change their roles under one long draft. The wait for
-	// the first must not use up that for the second.
-	It("waits anew for each planned change", func() {
+	// Two engines change their roles, one after the other, during one long
+	// generation. The wait for the first must not count towards the second.
+	It("applies the wait limit to each planned change separately", func() {
 		f := newFixture(call.Spec{Resumable: true})
 		later := func() {
 			f.step(call.Unroutable{
-				Attempt: f.machine.Attempt(), Err: verdict.NewRejection(verdict.CodeNoBackend, "changing", 0), RetryIn: call.WaitMin,
+				Attempt: f.machine.Attempt(), Err: verdict.NewRejection(verdict.CodeNoBackend, "changing", 0), RetryIn: call.MinRouteDelay,
 			})
 		}
 		later()
-		f.now = f.now.Add(call.WaitFor + time.Second)
+		f.now = f.now.Add(call.MaxChangeWait + time.Second)
 		f.step(call.Timer{})
 		f.sendTo("a")
 		f.step(call.Chunk{Attempt: 1, Frame: chunk(requestID, 1, 0, "x")})
@@ -210,10 +208,9 @@
 		Expect(f.machine.Ended()).To(BeFalse())
 	})
 
-	// The sidecar crashes after it ran a hold and is started again. It has never
-	// heard of the hold, and says so; the booker who believes "not run" places
-	// it a second time.
-	It("does not believe a restarted sidecar that a request did not run", func() {
+	// Guards against a second run: the sidecar restarts after it ran a request,
+	// has no record of it and reports "not run", so that the caller would retry.
+	It("does not trust \"not run\" from a restarted sidecar", func() {
 		f := newFixture(call.Spec{})
 		f.sendTo("a")
 		f.step(call.StreamLost{Attempt: 1})
@@ -221,9 +218,9 @@
 		Expect(f.failure().Verdict).To(Equal(verdict.MayHaveRun))
 	})
 
-	// The driver reports that a Start did not leave, after it did. Taken back,
-	// the attempt would count as "not run" while the sidecar runs it.
-	It("does not take back an attempt that was sent", func() {
+	// Guards against a false "not run": the driver reports NotSent after Sent,
+	// while the sidecar runs the attempt.
+	It("ignores NotSent for an attempt that was sent", func() {
 		f := newFixture(call.Spec{})
 		f.sendTo("a")
 		f.step(call.NotSent{Attempt: 1})
@@ -231,9 +228,9 @@
 		Expect(f.machine.Verdict()).To(Equal(verdict.MayHaveRun))
 	})
 
-	// The connection under an attempt that was already given up breaks. Taken
-	// for the present one's, a healthy draft would be moved once more.
-	It("ignores the link of an earlier attempt", func() {
+	// Guards against a needless move of a healthy request: the connection of an
+	// earlier attempt, already abandoned, breaks.
+	It("ignores the loss of an earlier attempt's stream", func() {
 		f := newFixture(call.Spec{Resumable: true})
 		f.sendTo("a")
 		f.step(call.LinkSilent{Attempt: 1})
@@ -243,7 +240,7 @@
 		Expect(f.effects).To(BeEmpty())
 	})
 
-	It("sends a request elsewhere once its sidecar has promised never to run it", func() {
+	It("sends a request to another server once its sidecar has ruled out that it runs", func() {
 		f := newFixture(call.Spec{})
 		f.sendTo("a")
 		f.step(call.LinkSilent{Attempt: 1})
@@ -253,9 +250,9 @@
 		Expect(route.Retry.NotRun).To(BeTrue())
 	})
 
-	// The link goes silent while a registry still works on a lot. The answer
-	// comes later, from what the sidecar kept, and not from a second run.
-	It("waits for a request that still runs and takes its kept answer", func() {
+	// Guards against a second run: the link goes silent while a long call is
+	// running. Its answer comes later, from what the sidecar stored.
+	It("waits for a request that is still running and uses its stored answer", func() {
 		f := newFixture(call.Spec{})
 		f.sendTo("a")
 		f.step(call.LinkSilent{Attempt: 1})
@@ -274,11 +271,10 @@
 		Expect(f.machine.Ended()).To(BeTrue())
 	})
 
-	// A stream loses its link and a second attempt takes the running answer over
-	// in its middle; then that link is lost as well, and the run ends. What the
-	// sidecar kept begins where the run began: the caller would read a draft that
-	// starts again in the middle.
-	It("does not take an answer kept from its beginning for its rest", func() {
+	// Guards against a repeated beginning: a stream is lost, a second attempt
+	// reattaches in the middle of the running answer, and its stream is lost as
+	// well. The answer that the sidecar stored begins where the run began.
+	It("rejects a stored answer that begins before the resume point", func() {
 		f := newFixture(call.Spec{Resumable: true})
 		f.sendTo("a")
 		f.step(call.Chunk{Attempt: 1, Frame: chunk(requestID, 1, 0, "one ")})
@@ -298,9 +294,9 @@
 		Expect(f.machine.Ended()).To(BeFalse())
 	})
 
-	// The first attempt may still run when the second is refused. Told the
-	// verdict of the second alone, the caller would ask again.
-	It("tells the worst verdict of all attempts", func() {
+	// Guards against a false "not run": the first attempt may still be running
+	// when no server is found for the second, and the caller would retry.
+	It("reports the worst verdict of all attempts", func() {
 		f := newFixture(call.Spec{Idempotent: true})
 		f.sendTo("a")
 		f.step(call.StreamLost{Attempt: 1})
@@ -309,8 +305,8 @@
 		Expect(f.failure().Verdict).To(Equal(verdict.MayHaveRun))
 	})
 
-	// The prefill engine cannot take the prompt. The draft comes all the same:
-	// the decode engine reads the prompt itself.
+	// The prefill engine is unreachable: the decode engine prefills the prompt
+	// itself.
 	It("lets the decode engine prefill when the prefill engine fails", func() {
 		f := newFixture(call.Spec{Resumable: true})
 		f.step(call.Routed{Attempt: 1, Server: "decode", PrefillServer: "prefill"})
@@ -334,10 +330,10 @@
 		Expect(start.KV.GetId()).To(Equal("kv-1"))
 	})
 
-	// A request waits in the sidecar's queue past its deadline. The sidecar can
-	// still say that it never began, which is worth a moment's wait: the caller
-	// may then ask again.
-	It("waits past the deadline for the sidecar's word", func() {
+	// A request is still in the sidecar's queue at its deadline. It is worth
+	// waiting for the sidecar's confirmation that the request never started,
+	// because the caller may then retry.
+	It("waits for the sidecar's response to the Cancel after the deadline", func() {
 		f := newFixture(call.Spec{})
 		f.sendTo("a")
 		f.now = f.machine.NextTimer()
--- a/internal/entry/call/effect.go
+++ b/internal/entry/call/effect.go
@@ -7,87 +7,89 @@
 	"pistachioroad.dev/pistachioroad/internal/wire"
 )
 
-// Effect is something that the driver of a Machine has to do, in the order
-// returned.
+// Effect is an action for the driver of a Machine. Effects are carried out in
+// the order returned.
 type Effect interface{ isEffect() }
 
 type (
-	// Route asks for a backend server for the attempt; Routed or Unroutable
-	// answers it.
+	// Route requests a backend server for the attempt. The driver responds with
+	// Routed or Unroutable.
 	Route struct {
 		Attempt uint32
-		// Excluded backend servers have failed this request.
+		// Excluded are the backend servers that already failed this request.
 		Excluded []string
-		// Retry is set when an attempt was sent before; the retry budget
-		// decides about it.
+		// Retry is set when an earlier attempt failed; the retry budget may
+		// reject the new one.
 		Retry *Retry
-		// Resume says that part of the answer was delivered, so that a separate
-		// prefill does not help.
+		// Resume reports that a beginning of the answer was delivered, so that
+		// a separate prefill does not help.
 		Resume bool
-		// Remaining is what is left of the deadline.
+		// Remaining is the time until the deadline.
 		Remaining time.Duration
 	}
 
-	// SendStart asks to send the Start frame of the attempt on a new stream;
-	// Sent or NotSent answers it.
+	// SendStart sends the Start frame of the attempt on a new stream. The driver
+	// responds with Sent or NotSent.
 	SendStart struct {
 		Attempt uint32
 		Server  string
-		// Budget is what is left of the deadline now; a driver that sends later
-		// sends less.
+		// Budget is the time until the deadline now; a driver that sends later
+		// reduces it.
 		Budget time.Duration
-		// PrefillOnly asks for a KV ticket in place of an answer.
+		// PrefillOnly requests a KV ticket instead of an answer.
 		PrefillOnly bool
 		KV          *wire.KVTicket
-		// ResumeFrom and ResumeText are the output that the caller has.
+		// ResumeFrom is the number of output tokens delivered to the caller,
+		// ResumeText their text.
 		ResumeFrom uint32
 		ResumeText string
 	}
 
-	// Resolve asks to open a connection to the sidecar beside the one of the
-	// attempt, if that is silent or lost, and to ask there what became of the
-	// request; Resolution or ResolveFailed answers it.
+	// Resolve queries the sidecar for the outcome of the attempt, on a new
+	// connection if that of the attempt is silent or lost. The driver responds
+	// with Resolution or ResolveFailed.
 	Resolve struct {
 		Attempt uint32
 		Server  string
 	}
 
-	// Cancel gives the work of an attempt up and drops its stream. Frames that
-	// still come are of no use.
+	// Cancel cancels the work of an attempt. Its stream stays open until the
+	// request ends, so that the sidecar's response can still arrive.
 	Cancel struct {
 		Attempt uint32
 		Server  string
 	}
 
-	// Deliver passes the next piece of the answer to the caller.
+	// Deliver passes the next part of the answer to the caller.
 	Deliver struct {
 		Data   []byte
 		Tokens uint32
 	}
 
-	// Finish ends the request with a whole answer: exactly what was delivered.
+	// Finish ends the request successfully: what was delivered is the complete
+	// answer.
 	Finish struct {
 		Final *wire.Final
-		// Tokens is the count of output tokens delivered over all attempts.
+		// Tokens is the number of output tokens delivered by all attempts.
 		Tokens uint32
 		Server string
 	}
 
-	// Fail ends the request without a whole answer.
+	// Fail ends the request without a complete answer.
 	Fail struct{ Err *verdict.Error }
 
-	// Explain is a decision for the log of decisions.
+	// Explain adds a decision to the decision log.
 	Explain struct{ Decision, Reason string }
 )
 
-// Retry describes the attempt that failed before.
+// Retry describes the failed attempt that a Route follows.
 type Retry struct {
-	// NotRun says that it certainly did not run.
+	// NotRun reports that it certainly did not run.
 	NotRun bool
 	// Sent is false when the attempt never left this process.
 	Sent bool
-	// Planned says that its backend server is draining. A planned change must
-	// cut no request, so no budget may stand in its way.
+	// ServerDraining reports that its backend server is draining. A planned change
+	// must not interrupt a request, so the retry budget does not apply.
 	ServerDraining bool
 }
 
--- a/internal/entry/call/event.go
+++ b/internal/entry/call/event.go
@@ -7,80 +7,81 @@
 	"pistachioroad.dev/pistachioroad/internal/wire"
 )
 
-// Event is something that happened to a request. Events that name an attempt
-// other than the current one are dropped and counted.
+// Event is an input of a Machine. Events of an attempt other than the current
+// one are dropped and counted.
 type Event interface{ isEvent() }
 
 type (
-	// Begin starts the request. It comes once, first.
+	// Begin starts the request. It is the first event and comes once.
 	Begin struct{}
 
-	// Routed answers a Route effect. Prefill, when set, is the backend server
-	// that computes the KV cache for Server first.
+	// Routed responds to a Route effect. PrefillServer, when set, is the backend
+	// server that first computes the KV cache for Server.
 	Routed struct {
 		Attempt       uint32
 		Server        string
 		PrefillServer string
 	}
 
-	// Unroutable answers a Route effect: there is no backend server for the
-	// attempt, or no budget for it.
+	// Unroutable responds to a Route effect: there is no backend server for the
+	// attempt, or no retry budget.
 	Unroutable struct {
 		Attempt uint32
 		Err     *verdict.Error
-		// RetryIn is when to ask for a route again, in place of giving up: a
-		// planned change is under way. 0: give up.
+		// RetryIn is the delay before another Route, while a planned change is
+		// in progress. 0 means that the request fails.
 		RetryIn time.Duration
 	}
 
-	// Sent says that the Start frame was handed to a connection to the sidecar
-	// process of the incarnation given. Part of it may have been sent even when
-	// the connection broke meanwhile; LinkLost follows then.
+	// Sent reports that the Start frame is being handed to a connection to the
+	// given incarnation of the sidecar. Some of it may have been sent even if the
+	// connection broke meanwhile; StreamLost follows in that case.
 	Sent struct {
 		Attempt     uint32
 		Incarnation string
 	}
 
-	// NotSent says that no byte of the Start frame left this process.
+	// NotSent reports that no byte of the Start frame has left this process.
 	NotSent struct{ Attempt uint32 }
 
-	// Chunk is a frame that came on the stream of the attempt.
+	// Chunk is a frame received on the stream of the attempt.
 	Chunk struct {
 		Attempt uint32
 		Frame   *wire.Chunk
 	}
 
-	// Final is a frame that came on the stream of the attempt.
+	// Final is a frame received on the stream of the attempt.
 	Final struct {
 		Attempt uint32
 		Frame   *wire.Final
 	}
 
-	// Refusal is a frame that came on the stream of the attempt.
+	// Refusal is a frame received on the stream of the attempt.
 	Refusal struct {
 		Attempt uint32
 		Frame   *wire.Refusal
 	}
 
-	// LinkLost says that the stream of the attempt has ended.
+	// StreamLost reports that the stream of the attempt has ended.
 	StreamLost struct{ Attempt uint32 }
 
-	// LinkSilent says that the connection under the attempt is silent.
+	// LinkSilent reports that the connection of the attempt received nothing for
+	// link.SilentAfter, or has ended.
 	LinkSilent struct{ Attempt uint32 }
 
-	// Resolution answers a Resolve effect.
+	// Resolution is the sidecar's response to a Resolve effect.
 	Resolution struct {
 		Attempt uint32
 		Frame   *wire.Resolution
 	}
 
-	// ResolveFailed says that a Resolve effect got no answer.
+	// ResolveFailed reports that a Resolve effect got no response.
 	ResolveFailed struct{ Attempt uint32 }
 
-	// Timer says that the time returned by Next has come.
+	// Timer reports that the time returned by NextTimer has been reached.
 	Timer struct{}
 
-	// CallerGone says that the caller no longer waits.
+	// CallerDisconnected reports that the caller has disconnected.
 	CallerDisconnected struct{}
 )
 
--- a/internal/entry/call/fail.go
+++ b/internal/entry/call/fail.go
@@ -7,8 +7,8 @@
 	"pistachioroad.dev/pistachioroad/internal/verdict"
 )
 
-// callerGone gives the request up.
-func (m *Machine) callerGone() {
+// callerDisconnected cancels the request.
+func (m *Machine) callerDisconnected() {
 	if m.inFlight() {
 		m.cancel()
 	}
@@ -16,53 +16,54 @@
 }
 
 func (m *Machine) cancel() {
-	m.emit(Cancel{Attempt: m.cur.number, Server: m.cur.server})
+	m.emit(Cancel{Attempt: m.current.number, Server: m.current.server})
 }
 
-// checkDeadline gives the request up once its time has passed.
+// checkDeadline cancels the attempt in flight once the deadline has passed, and
+// fails the request when DeadlineGrace has elapsed as well.
 func (m *Machine) checkDeadline(now time.Time) {
 	if now.Before(m.spec.Deadline) {
 		return
 	}
 	if !m.inFlight() {
-		m.failDeadline()
+		m.failDeadlineExceeded()
 		return
 	}
-	if !m.expiring {
-		m.expiring = true
+	if !m.deadlinePassed {
+		m.deadlinePassed = true
 		m.cancel()
 	}
 	if !now.Before(m.spec.Deadline.Add(DeadlineGrace)) {
-		m.failDeadline()
+		m.failDeadlineExceeded()
 	}
 }
 
-func (m *Machine) failDeadline() {
+func (m *Machine) failDeadlineExceeded() {
 	m.fail(verdict.New(verdict.NotRun, verdict.CodeDeadlineExceeded, "the deadline of the request has passed"))
 }
 
-// fail ends the request. The caller gets the verdict over all attempts: the
-// last attempt's alone could say "not run" while the first one runs.
+// fail ends the request. The caller gets the worst verdict of all attempts: that
+// of the last attempt alone could be "not run" while an earlier one is running.
 func (m *Machine) fail(err *verdict.Error) {
-	told := *err
-	told.Verdict = verdict.Worst(told.Verdict, m.Verdict())
-	told.RetryAfter = m.retryAfter(told)
-	m.checkVerdict(told.Verdict)
-	m.explain("failed", told.Error())
-	m.emit(Fail{Err: &told})
+	reported := *err
+	reported.Verdict = verdict.Worst(reported.Verdict, m.Verdict())
+	reported.RetryAfter = m.retryAfter(reported)
+	m.checkVerdict(reported.Verdict)
+	m.explain("failed", reported.Error())
+	m.emit(Fail{Err: &reported})
 	m.phase = ended
 }
 
-// retryAfter tells when asking again makes sense, 0 if it does not: the same
-// call would run twice, or fail in the same way.
-func (m *Machine) retryAfter(told verdict.Error) time.Duration {
-	repeatable := told.Verdict == verdict.NotRun || m.spec.Idempotent || m.spec.Keyed
+// retryAfter returns the delay after which the caller may retry, or 0 if a retry
+// would run the request twice or fail in the same way.
+func (m *Machine) retryAfter(reported verdict.Error) time.Duration {
+	repeatable := reported.Verdict == verdict.NotRun || m.spec.Idempotent || m.spec.Keyed
 	switch {
-	case !repeatable || told.Verdict == verdict.Ran && !m.spec.Idempotent:
+	case !repeatable || reported.Verdict == verdict.Ran && !m.spec.Idempotent:
 		return 0
-	case told.RetryAfter > 0:
-		return told.RetryAfter
-	case isTemporary(told.Code):
+	case reported.RetryAfter > 0:
+		return reported.RetryAfter
+	case isTemporary(reported.Code):
 		return DefaultRetryAfter
 	default:
 		return 0
@@ -79,15 +80,15 @@
 	}
 }
 
-// checkVerdict asserts that "not run" is told only when no attempt may have
-// run.
-func (m *Machine) checkVerdict(told verdict.Verdict) {
-	if told != verdict.NotRun {
+// checkVerdict asserts that the caller gets "not run" only if no attempt may
+// have run.
+func (m *Machine) checkVerdict(reported verdict.Verdict) {
+	if reported != verdict.NotRun {
 		return
 	}
-	invariant.Check(m.cur.verdict == verdict.NotRun && m.tokens == 0, "not run is true",
-		"request %s: attempt %d %s", m.spec.ID, m.cur.number, m.cur.verdict)
-	for i, v := range m.past {
+	invariant.Check(m.current.verdict == verdict.NotRun && m.deliveredTokens == 0, "not run is true",
+		"request %s: attempt %d %s", m.spec.ID, m.current.number, m.current.verdict)
+	for i, v := range m.pastVerdicts {
 		invariant.Check(v == verdict.NotRun, "not run is true",
 			"request %s: attempt %d %s", m.spec.ID, i+1, v)
 	}
--- a/internal/entry/call/resolve.go
+++ b/internal/entry/call/resolve.go
@@ -8,83 +8,84 @@
 	"pistachioroad.dev/pistachioroad/internal/wire"
 )
 
-// outcomeUnknown asks the sidecar what became of the attempt.
+// outcomeUnknown queries the sidecar for the outcome of the attempt.
 //
-// A connection that breaks or goes silent after the Start was sent says
-// nothing about the request. Sending it again could run it twice, and telling
-// the caller "not run" could be a lie; only the sidecar knows, and it can be
-// asked on another connection.
-func (m *Machine) outcomeUnknown(now time.Time, why string) {
+// If the connection breaks or goes silent after the Start was sent, the request
+// may or may not have run. Sending it again could run it twice, and reporting
+// "not run" could be false; only the sidecar knows the outcome, and it can be
+// queried on another connection. After a lost prefill no query is needed: the
+// decode engine prefills the prompt itself.
+func (m *Machine) outcomeUnknown(now time.Time, reason string) {
 	if m.phase == resolving {
 		return
 	}
-	if m.cur.prefill {
+	if m.current.prefill {
 		m.cancel()
-		m.again(now, verdict.New(verdict.MayHaveRun, verdict.CodeOutcomeUnknown, why))
+		m.retryOrFail(now, verdict.New(verdict.MayHaveRun, verdict.CodeOutcomeUnknown, reason))
 		return
 	}
-	m.explain("outcome unknown", "attempt at "+m.cur.server+": "+why)
+	m.explain("outcome unknown", "attempt at "+m.current.server+": "+reason)
 	m.phase = resolving
-	m.cur.progressed = false
-	m.cur.poll = PollMin
-	m.cur.giveUpAt = now.Add(ResolveFor)
-	m.ask(now)
+	m.current.streamActive = false
+	m.current.pollInterval = MinPollInterval
+	m.current.resolveDeadline = now.Add(MaxResolveDuration)
+	m.sendResolve(now)
 }
 
-func (m *Machine) ask(now time.Time) {
+func (m *Machine) sendResolve(now time.Time) {
 	resolves.Inc(1)
-	m.cur.asked = true
-	m.cur.resolveAt = now.Add(ResolveTimeout)
-	m.emit(Resolve{Attempt: m.cur.number, Server: m.cur.server})
+	m.current.resolvePending = true
+	m.current.resolveAt = now.Add(ResolveTimeout)
+	m.emit(Resolve{Attempt: m.current.number, Server: m.current.server})
 }
 
-// resolveDue asks again, or takes the outstanding Resolve for failed.
+// resolveDue times out the outstanding Resolve, or sends the next one.
 func (m *Machine) resolveDue(now time.Time) {
-	if m.cur.asked {
+	if m.current.resolvePending {
 		m.resolveFailed(now)
 		return
 	}
-	m.ask(now)
+	m.sendResolve(now)
 }
 
-func (m *Machine) pollLater(now time.Time) {
-	m.cur.asked = false
-	m.cur.resolveAt = now.Add(m.cur.poll)
-	m.cur.poll = min(2*m.cur.poll, PollMax)
+func (m *Machine) schedulePoll(now time.Time) {
+	m.current.resolvePending = false
+	m.current.resolveAt = now.Add(m.current.pollInterval)
+	m.current.pollInterval = min(2*m.current.pollInterval, MaxPollInterval)
 }
 
 func (m *Machine) resolveFailed(now time.Time) {
-	if m.phase != resolving || !m.cur.asked {
+	if m.phase != resolving || !m.current.resolvePending {
 		staleEvents.Inc(1)
 		return
 	}
-	if m.spec.Idempotent || !now.Before(m.cur.giveUpAt) {
-		m.stayUnknown(now, "the sidecar cannot be asked for the outcome")
+	if m.spec.Idempotent || !now.Before(m.current.resolveDeadline) {
+		m.endUnresolved(now, "the sidecar cannot be asked for the outcome")
 		return
 	}
-	m.pollLater(now)
+	m.schedulePoll(now)
 }
 
-// stayUnknown ends the attempt as one that may have run.
-func (m *Machine) stayUnknown(now time.Time, why string) {
+// endUnresolved ends the attempt with the verdict that it may have run.
+func (m *Machine) endUnresolved(now time.Time, reason string) {
 	m.cancel()
-	m.again(now, verdict.New(verdict.MayHaveRun, verdict.CodeOutcomeUnknown, why))
+	m.retryOrFail(now, verdict.New(verdict.MayHaveRun, verdict.CodeOutcomeUnknown, reason))
 }
 
 func (m *Machine) resolution(now time.Time, r *wire.Resolution) {
 	if !bytes.Equal(r.GetRequestId(), m.spec.ID[:]) {
-		foreignFrames.Inc(1)
+		mismatchedFrames.Inc(1)
 		return
 	}
 	if m.phase != resolving {
 		staleEvents.Inc(1)
 		return
 	}
-	// A sidecar that restarted has forgotten what it ran. Its honest "never
-	// seen" is about its new life only, and taken for "not run" it would run a
-	// hold a second time.
-	if !m.cur.sent || r.GetIncarnation() != m.cur.incarnation {
-		m.stayUnknown(now, "the sidecar has restarted since the attempt")
+	// A sidecar loses its records in a restart. "Not run" from a later
+	// incarnation says nothing about the attempt, and trusting it could run a
+	// non-repeatable request a second time.
+	if !m.current.sent || r.GetIncarnation() != m.current.incarnation {
+		m.endUnresolved(now, "the sidecar has restarted since the attempt")
 		return
 	}
 	switch r.GetOutcome() {
@@ -95,92 +96,91 @@
 	case wire.Outcome_OUTCOME_RAN:
 		m.resolvedRan(now, r)
 	default:
-		m.stayUnknown(now, "the sidecar does not know the outcome")
+		m.endUnresolved(now, "the sidecar does not know the outcome")
 	}
 }
 
 func (m *Machine) resolvedNotRun(now time.Time) {
-	if m.cur.next > 0 {
-		m.stayUnknown(now, "the attempt had begun to answer")
+	if m.current.nextSequence > 0 {
+		m.endUnresolved(now, "the attempt had begun to answer")
 		return
 	}
-	m.cur.verdict = verdict.NotRun
+	m.current.verdict = verdict.NotRun
 	m.cancel()
-	m.again(now, verdict.New(verdict.NotRun, verdict.CodeNoBackend, "the request did not reach the backend server"))
+	m.retryOrFail(now, verdict.New(verdict.NotRun, verdict.CodeNoBackend, "the request did not reach the backend server"))
 }
 
-// resolvedRunning waits for a request that still runs. A stream that can be
-// resumed is taken over on the new connection, unless its link recovered.
+// resolvedRunning waits for a request that is still running. A resumable stream
+// is reattached on a new connection, unless the old one has recovered.
 func (m *Machine) resolvedRunning(now time.Time) {
 	if !m.spec.Resumable {
-		m.pollLater(now)
+		m.schedulePoll(now)
 		return
 	}
-	if m.cur.progressed && !m.cur.lost {
+	if m.current.streamActive && !m.current.streamLost {
 		m.phase = running
 		return
 	}
-	m.takeOver(now)
+	m.reattach(now)
 }
 
-// takeOver sends the request again to the sidecar that runs it. The sidecar
-// joins the new attempt to the run, from what was delivered; the run itself
-// goes on.
-func (m *Machine) takeOver(now time.Time) {
-	server := m.cur.server
-	if len(m.past)+1 >= MaxAttempts {
+// reattach sends the request again to the sidecar that is running it. The
+// sidecar attaches the new attempt to the running answer, from the point that
+// was delivered; it does not run the request again.
+func (m *Machine) reattach(now time.Time) {
+	server := m.current.server
+	if len(m.pastVerdicts)+1 >= MaxAttempts {
 		m.fail(verdict.New(verdict.MayHaveRun, verdict.CodeOutcomeUnknown, "the stream was cut off from its backend server"))
 		return
 	}
-	m.archive()
-	m.send(now, server, nil)
+	m.beginAttempt()
+	m.sendStart(now, server, nil)
 }
 
-// resolvedRan takes the answer that the sidecar kept.
+// resolvedRan completes the attempt from the answer that the sidecar stored.
 func (m *Machine) resolvedRan(now time.Time, r *wire.Resolution) {
-	if !m.keptWhole(r) {
-		m.cur.verdict = verdict.Ran
+	if !m.isUsableAnswer(r) {
+		m.current.verdict = verdict.Ran
 		m.cancel()
 		if m.spec.Idempotent {
-			m.again(now, verdict.New(verdict.Ran, verdict.CodeAnswerBroken, "the answer was not kept"))
+			m.retryOrFail(now, verdict.New(verdict.Ran, verdict.CodeAnswerBroken, "the answer was not kept"))
 			return
 		}
 		m.fail(verdict.New(verdict.Ran, verdict.CodeAnswerBroken, "the request ran, its answer was not kept"))
 		return
 	}
-	for _, c := range r.GetChunks()[m.cur.next:] {
-		m.take(now, c)
+	for _, c := range r.GetChunks()[m.current.nextSequence:] {
+		m.appendChunk(now, c)
 		if m.phase == ended {
 			return
 		}
 	}
-	m.whole(now, r.GetFinal())
+	m.answerComplete(now, r.GetFinal())
 }
 
-// keptWhole reports whether the kept answer is this request's, whole, and
-// begins with what was received before.
+// isUsableAnswer reports whether the stored answer belongs to this attempt, is
+// complete, and begins with the chunks already received.
 //
-// An attempt that took a running answer over begins in its middle, while the
-// sidecar keeps the answer from where the run began. Taken for the attempt's
-// own, it would give the caller the beginning once more after what was
-// delivered; one notices a draft that starts again in the middle.
-func (m *Machine) keptWhole(r *wire.Resolution) bool {
+// An attempt that was reattached to a running answer begins in its middle, while
+// the sidecar stores the answer from where the run began. Without the check of
+// ResumeFrom the caller would get the beginning again after what was delivered.
+func (m *Machine) isUsableAnswer(r *wire.Resolution) bool {
 	f := r.GetFinal()
-	if f == nil || !m.own(f.GetRequestId(), f.GetAttempt()) || r.GetResumeFrom() != m.cur.resumeFrom {
+	if f == nil || !m.belongsToAttempt(f.GetRequestId(), f.GetAttempt()) || r.GetResumeFrom() != m.current.resumeFrom {
 		return false
 	}
 	digest := wire.NewDigest()
 	for i, c := range r.GetChunks() {
-		if uint32(i) == m.cur.next && digest.Sum() != m.cur.digest.Sum() {
+		if uint32(i) == m.current.nextSequence && digest.Sum() != m.current.digest.Sum() {
 			return false
 		}
-		if !m.own(c.GetRequestId(), c.GetAttempt()) || c.GetSequence() != uint32(i) {
+		if !m.belongsToAttempt(c.GetRequestId(), c.GetAttempt()) || c.GetSequence() != uint32(i) {
 			return false
 		}
 		digest.Add(c)
 	}
-	if m.cur.next == digest.Chunks() && digest.Sum() != m.cur.digest.Sum() {
+	if m.current.nextSequence == digest.Chunks() && digest.Sum() != m.current.digest.Sum() {
 		return false
 	}
-	return digest.Matches(f) && m.cur.next <= digest.Chunks()
+	return digest.Matches(f) && m.current.nextSequence <= digest.Chunks()
 }
--- a/internal/entry/call/route.go
+++ b/internal/entry/call/route.go
@@ -8,119 +8,121 @@
 	"pistachioroad.dev/pistachioroad/internal/wire"
 )
 
-// route asks for a backend server for the next attempt.
-func (m *Machine) route(now time.Time, retry *Retry) {
-	m.archive()
+// routeNext requests a backend server for the next attempt.
+func (m *Machine) routeNext(now time.Time, retry *Retry) {
+	m.beginAttempt()
 	m.retry = retry
-	m.askRoute(now)
+	m.requestRoute(now)
 }
 
-// routeLater does so after a while.
-func (m *Machine) routeLater(now time.Time, retry *Retry, after time.Duration) {
-	m.archive()
+// routeNextAfter is routeNext after a delay.
+func (m *Machine) routeNextAfter(now time.Time, retry *Retry, after time.Duration) {
+	m.beginAttempt()
 	m.retry = retry
-	m.wait(now, after)
+	m.delayRoute(now, after)
 }
 
-func (m *Machine) wait(now time.Time, after time.Duration) {
-	m.phase = waiting
-	m.waitUntil = now.Add(min(max(after, WaitMin), WaitMax))
+func (m *Machine) delayRoute(now time.Time, after time.Duration) {
+	m.phase = routeDelayed
+	m.routeAt = now.Add(min(max(after, MinRouteDelay), MaxRouteDelay))
 }
 
-// mayWait reports whether the request may go on waiting.
-func (m *Machine) mayWait(now time.Time) bool {
-	if m.waitEnd.IsZero() {
-		m.waitEnd = now.Add(WaitFor)
+// mayWaitLonger reports whether the wait for the planned change is still within
+// MaxChangeWait; the first call starts it.
+func (m *Machine) mayWaitLonger(now time.Time) bool {
+	if m.waitDeadline.IsZero() {
+		m.waitDeadline = now.Add(MaxChangeWait)
 	}
-	return now.Before(m.waitEnd)
+	return now.Before(m.waitDeadline)
 }
 
-func (m *Machine) askRoute(now time.Time) {
+func (m *Machine) requestRoute(now time.Time) {
 	m.phase = routing
-	m.decode = ""
+	m.decodeServer = ""
 	m.emit(Route{
-		Attempt:   m.cur.number,
+		Attempt:   m.current.number,
 		Excluded:  append([]string(nil), m.excluded...),
 		Retry:     m.retry,
-		Resume:    m.tokens > 0,
+		Resume:    m.deliveredTokens > 0,
 		Remaining: m.spec.Deadline.Sub(now),
 	})
 }
 
-// archive makes way for the next attempt.
-func (m *Machine) archive() {
-	if m.cur.number > 0 {
-		m.past = append(m.past, m.cur.verdict)
+// beginAttempt archives the verdict of the current attempt and makes the next one
+// current.
+func (m *Machine) beginAttempt() {
+	if m.current.number > 0 {
+		m.pastVerdicts = append(m.pastVerdicts, m.current.verdict)
 	}
-	m.cur = attempt{number: m.cur.number + 1, digest: wire.NewDigest()}
+	m.current = attempt{number: m.current.number + 1, digest: wire.NewDigest()}
 }
 
 func (m *Machine) routed(now time.Time, e Routed) {
-	if m.phase != routing || e.Attempt != m.cur.number {
+	if m.phase != routing || e.Attempt != m.current.number {
 		staleEvents.Inc(1)
 		return
 	}
 	if e.PrefillServer == "" {
-		m.send(now, e.Server, nil)
+		m.sendStart(now, e.Server, nil)
 		return
 	}
-	m.decode = e.Server
-	m.cur.prefill = true
-	m.start(e.PrefillServer)
+	m.decodeServer = e.Server
+	m.current.prefill = true
+	m.markStarted(e.PrefillServer)
 	m.emit(SendStart{
-		Attempt:     m.cur.number,
+		Attempt:     m.current.number,
 		Server:      e.PrefillServer,
 		Budget:      m.spec.Deadline.Sub(now),
 		PrefillOnly: true,
 	})
 }
 
-// send starts the current attempt at server.
-func (m *Machine) send(now time.Time, server string, kv *wire.KVTicket) {
-	m.start(server)
-	m.cur.resumeFrom = m.tokens
-	if m.tokens > 0 {
+// sendStart sends the current attempt to server.
+func (m *Machine) sendStart(now time.Time, server string, kv *wire.KVTicket) {
+	m.markStarted(server)
+	m.current.resumeFrom = m.deliveredTokens
+	if m.deliveredTokens > 0 {
 		resumes.Inc(1)
 		m.explain("resumed", "the answer goes on at "+server)
 	}
 	m.emit(SendStart{
-		Attempt:    m.cur.number,
+		Attempt:    m.current.number,
 		Server:     server,
 		Budget:     m.spec.Deadline.Sub(now),
 		KV:         kv,
-		ResumeFrom: m.tokens,
-		ResumeText: string(m.text),
+		ResumeFrom: m.deliveredTokens,
+		ResumeText: string(m.deliveredText),
 	})
 }
 
-// start notes that the attempt may run from here on: an attempt whose fate is
-// not known later must never count as "not run".
-func (m *Machine) start(server string) {
+// markStarted records that the attempt may run from now on: an attempt whose
+// outcome stays unknown must never count as "not run".
+func (m *Machine) markStarted(server string) {
 	m.phase = running
-	m.cur.server = server
-	m.cur.verdict = verdict.MayHaveRun
-	m.checkRepeat()
+	m.current.server = server
+	m.current.verdict = verdict.MayHaveRun
+	m.checkNotRepeated()
 }
 
-// checkRepeat asserts that a request which may not be repeated is sent again
-// only after attempts that certainly did not run.
-func (m *Machine) checkRepeat() {
+// checkNotRepeated asserts that a non-idempotent request is sent again only after
+// attempts that certainly did not run.
+func (m *Machine) checkNotRepeated() {
 	if m.spec.Idempotent {
 		return
 	}
-	for _, v := range m.past {
+	for _, v := range m.pastVerdicts {
 		invariant.Check(v == verdict.NotRun, "runs at most once",
 			"request %s is sent again after an attempt that %s", m.spec.ID, v)
 	}
 }
 
 func (m *Machine) unroutable(now time.Time, e Unroutable) {
-	if m.phase != routing || e.Attempt != m.cur.number {
+	if m.phase != routing || e.Attempt != m.current.number {
 		staleEvents.Inc(1)
 		return
 	}
-	if e.RetryIn > 0 && m.mayWait(now) {
-		m.wait(now, e.RetryIn)
+	if e.RetryIn > 0 && m.mayWaitLonger(now) {
+		m.delayRoute(now, e.RetryIn)
 		return
 	}
 	err := e.Err
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -15,15 +15,15 @@
 	"pistachioroad.dev/pistachioroad/internal/settings"
 )
 
-// callers is the duty that takes the callers' connections.
-type callers struct {
+// callerServer is the duty that serves the callers' HTTP connections.
+type callerServer struct {
 	listener net.Listener
 	api      *api.API
 	server   *http.Server
 }
 
-func newCallersServer(listener net.Listener, s *settings.Entry, a *api.API) *callers {
-	return &callers{
+func newCallerServer(listener net.Listener, s *settings.Entry, a *api.API) *callerServer {
+	return &callerServer{
 		listener: netutil.LimitListener(listener, s.Limits.Connections),
 		api:      a,
 		server: &http.Server{
@@ -35,11 +35,12 @@
 	}
 }
 
-// String names the duty.
-func (c *callers) String() string { return "callers" }
+// String returns the name of the duty.
+func (c *callerServer) String() string { return "callers" }
 
-// Serve takes connections until the server is shut down.
-func (c *callers) Serve(ctx context.Context) error {
+// Serve accepts connections until the server is shut down, then waits for the end
+// of ctx.
+func (c *callerServer) Serve(ctx context.Context) error {
 	err := c.server.Serve(c.listener)
 	if errors.Is(err, http.ErrServerClosed) {
 		<-ctx.Done()
@@ -48,18 +49,20 @@
 	return eris.Wrap(err, "serve callers")
 }
 
-// finish stops listening and waits for the requests in flight.
-func (c *callers) finish(timeout time.Duration) {
+// shutDown stops listening and waits for the requests in flight. After the timeout
+// it closes their connections.
+func (c *callerServer) shutDown(timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	if err := c.server.Shutdown(ctx); err != nil {
-		log.WithField("in_flight", c.api.InFlight()).Error("requests outlasted the shutdown timeout")
+		log.WithField("in_flight", c.api.InFlight()).
+			Errorf("requests still in flight after the shutdown timeout of %s; closing their connections", timeout)
 		_ = c.server.Close()
 	}
 }
 
-// Dump returns the state of the duty.
-func (c *callers) Dump(context.Context) any {
+// Dump returns the state of the duty for the operator API.
+func (c *callerServer) Dump(context.Context) any {
 	return struct {
 		InFlight int `json:"in_flight"`
 	}{c.api.InFlight()}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,5 +1,5 @@
-// Package entry is the process that takes the callers' requests: it wires and
-// supervises the duties of an entry VM.
+// Package entry implements the entry, the process that serves callers' requests
+// in the sidecar deployment: it builds and supervises the duties of an entry VM.
 package entry
 
 import (
@@ -29,14 +29,15 @@
 )
 
 const (
-	// explainSize is how many decisions are remembered.
-	explainSize = 8192
+	// explainLogSize is the number of decisions that the decision log holds.
+	explainLogSize = 8192
 )
 
-// The reasons why a process is not ready.
+// Errors that the readiness check returns.
 var (
 	errDraining = eris.New("shutting down")
-	// errStarting: a fresh process first looks for the highest versions.
+	// errStarting: after its start a process first determines the latest versions
+	// of the shared state, such as the configuration.
 	errStarting = eris.New("looking for the configuration in force")
 )
 
@@ -51,12 +52,12 @@
 	return p.run(ctx)
 }
 
-// newInjector names how each part is built.
+// newInjector registers the constructor of each component.
 func newInjector(s settings.Settings) do.Injector {
 	injector := do.New()
 	do.ProvideValue(injector, s)
 	do.ProvideValue(injector, daemon.NewIncarnation())
-	do.ProvideValue(injector, explain.New(explainSize))
+	do.ProvideValue(injector, explain.New(explainLogSize))
 	do.Provide(injector, newSupervisor)
 	do.Provide(injector, daemon.NewClient)
 	do.Provide(injector, newMember)
@@ -66,7 +67,7 @@
 	do.Provide(injector, newPool)
 	do.Provide(injector, newServer)
 	do.Provide(injector, newAPI)
-	do.Provide(injector, newCallers)
+	do.Provide(injector, listenForCallers)
 	do.Provide(injector, newProcess)
 	return injector
 }
@@ -103,7 +104,7 @@
 
 func newPlanner(i do.Injector) (*planner.Duty, error) {
 	s := do.MustInvoke[settings.Settings](i)
-	source := &planning{fleet: do.MustInvoke[*fleet](i), router: do.MustInvoke[*router.Router](i)}
+	source := &plannerSource{fleet: do.MustInvoke[*fleet](i), router: do.MustInvoke[*router.Router](i)}
 	client := do.MustInvoke[*sharedstate.Client](i)
 	return planner.NewDuty(s.Process.Name, s.Process.Region, client, source, do.MustInvoke[*explain.Log](i)), nil
 }
@@ -151,20 +152,20 @@
 	return api.New(s.Entry, do.MustInvoke[*serve.Server](i), do.MustInvoke[*fleet](i)), nil
 }
 
-func newCallers(i do.Injector) (*callers, error) {
+func listenForCallers(i do.Injector) (*callerServer, error) {
 	s := do.MustInvoke[settings.Settings](i)
 	listener, err := net.Listen("tcp", s.Listen.Callers)
 	if err != nil {
 		return nil, eris.Wrap(err, "listen for callers")
 	}
-	return newCallersServer(listener, s.Entry, do.MustInvoke[*api.API](i)), nil
+	return newCallerServer(listener, s.Entry, do.MustInvoke[*api.API](i)), nil
 }
 
-// process is a whole entry.
+// process is a running entry.
 type process struct {
 	settings   settings.Settings
 	supervisor *suture.Supervisor
-	callers    *callers
+	callers    *callerServer
 	fleet      *fleet
 	draining   atomic.Bool
 }
@@ -174,7 +175,7 @@
 	if err != nil {
 		return nil, err
 	}
-	callers, err := do.Invoke[*callers](i)
+	callers, err := do.Invoke[*callerServer](i)
 	if err != nil {
 		return nil, err
 	}
@@ -184,7 +185,7 @@
 		callers:    callers,
 		fleet:      f,
 	}
-	operators, err := p.newOperators(i)
+	operators, err := p.newOperatorServer(i)
 	if err != nil {
 		return nil, err
 	}
@@ -201,7 +202,7 @@
 	return p, nil
 }
 
-func (p *process) newOperators(i do.Injector) (*operator.Server, error) {
+func (p *process) newOperatorServer(i do.Injector) (*operator.Server, error) {
 	listen := p.settings.Listen
 	pool := do.MustInvoke[*links.Pool](i)
 	router := do.MustInvoke[*router.Router](i)
@@ -220,7 +221,7 @@
 				"planner": duty.Dump,
 				"callers": p.callers.Dump,
 			},
-			Fleet: &operators{fleet: p.fleet, router: router, pool: pool, client: client, planner: duty},
+			Fleet: &operatorFleet{fleet: p.fleet, router: router, pool: pool, client: client, planner: duty},
 			Store: client,
 		},
 	)
@@ -231,7 +232,7 @@
 	case p.draining.Load():
 		return errDraining
 	case !p.fleet.Snapshot().Ready, p.fleet.Snapshot().ListedAt.IsZero():
-		// Without the VM list there is no backend server to send work to.
+		// Without the VM list no backend server is known to send requests to.
 		return errStarting
 	}
 	return nil
@@ -243,14 +244,14 @@
 	return daemon.Serve(ctx, p.supervisor, func(context.Context) { p.shutDown() })
 }
 
-// shutDown takes the process out of service without cutting a request: the
-// balancer goes on sending new ones for a while after readiness went false.
+// shutDown takes the process out of service without interrupting a request: the
+// load balancer keeps sending new ones for BalancerLag after readiness fails.
 func (p *process) shutDown() {
 	entry := p.settings.Entry
 	log.WithField("balancer_lag", entry.BalancerLag.String()).Info("draining")
 	p.draining.Store(true)
 	p.callers.api.Drain()
 	time.Sleep(entry.BalancerLag)
-	p.callers.finish(entry.ShutdownTimeout)
+	p.callers.shutDown(entry.ShutdownTimeout)
 	log.Info("drained")
 }
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -34,27 +34,28 @@
 }
 
 const (
-	// soon bounds what happens by itself; it is no claim about speed.
-	soon = 30 * time.Second
-	// balancerLag is long enough for a request to come in within it.
+	// eventTimeout limits the wait for asynchronous steps; it is not a
+	// performance requirement.
+	eventTimeout = 30 * time.Second
+	// balancerLag is long enough for another request to arrive while draining.
 	balancerLag = 2 * time.Second
 )
 
-// site is an entry with one engine, in this process.
-type site struct {
+// testDeployment is an entry with one engine, both in this process.
+type testDeployment struct {
 	callers, operators string
 	stop               context.CancelFunc
 	stopped            chan error
 }
 
-// publish adds VMs to the VM list.
-func publish(objects *objectstore.Store, vms ...sharedstate.VM) {
+// addVMs adds VMs to the VM list.
+func addVMs(objects *objectstore.Store, vms ...sharedstate.VM) {
 	for _, vm := range vms {
 		objects.Put(sharedstate.VMsKind, vm.Name, vm)
 	}
 }
 
-func startSite() *site {
+func startDeployment() *testDeployment {
 	GinkgoHelper()
 	objects := objectstore.New()
 	store := httptest.NewServer(objects)
@@ -63,21 +64,21 @@
 	Expect(os.WriteFile(token, []byte("operator-token-of-the-test"), 0o600)).To(Succeed())
 
 	links := startEngine(strings.TrimPrefix(store.URL, "http://"), token)
-	publish(objects,
+	addVMs(objects,
 		sharedstate.VM{Name: "entry-1", Kind: sharedstate.VMEntry, Region: "seoul", DataCentre: "gangnam"},
 		sharedstate.VM{
 			Name: "engine-1", Kind: sharedstate.VMBackend, Region: "seoul", DataCentre: "gangnam",
 			LinkAddress: links, Service: sharedstate.ServiceModels,
 		},
 	)
-	s := &site{callers: freeAddress(), operators: freeAddress(), stopped: make(chan error, 1)}
+	s := &testDeployment{callers: freeAddress(), operators: freeAddress(), stopped: make(chan error, 1)}
 	ctx, stop := context.WithCancel(context.Background())
 	s.stop = stop
 	go func() {
 		s.stopped <- entry.Run(ctx, entrySettings(s, strings.TrimPrefix(store.URL, "http://"), token))
 	}()
 	DeferCleanup(stop)
-	Eventually(func() (int, error) { return s.status("/readyz") }, soon, "20ms").Should(Equal(http.StatusOK))
+	Eventually(func() (int, error) { return s.status("/readyz") }, eventTimeout, "20ms").Should(Equal(http.StatusOK))
 	Eventually(func() int {
 		resp, err := http.Post("http://"+s.callers+"/v1/completions", "", strings.NewReader(`{"model":"draft","prompt":"x","max_tokens":1}`))
 		if err != nil {
@@ -85,11 +86,11 @@
 		}
 		defer resp.Body.Close()
 		return resp.StatusCode
-	}, soon, "20ms").Should(Equal(http.StatusOK))
+	}, eventTimeout, "20ms").Should(Equal(http.StatusOK))
 	return s
 }
 
-func entrySettings(s *site, store, token string) settings.Settings {
+func entrySettings(s *testDeployment, store, token string) settings.Settings {
 	return settings.Settings{
 		Process:  settings.Process{Name: "entry-1", Role: settings.RoleEntry, Region: "seoul", DataCentre: "gangnam"},
 		Listen:   settings.Listen{Callers: s.callers, Links: freeAddress(), Operators: s.operators, OperatorTokenFile: token},
@@ -101,7 +102,7 @@
 				BodyTimeout: time.Second, IdleTimeout: time.Minute, MaxDeadline: time.Minute, InFlight: 64,
 			},
 			BalancerLag:     balancerLag,
-			ShutdownTimeout: soon,
+			ShutdownTimeout: eventTimeout,
 		},
 	}
 }
@@ -134,7 +135,7 @@
 	go func() { stopped <- sidecar.Run(ctx, s) }()
 	DeferCleanup(func() {
 		stop()
-		Eventually(stopped, soon).Should(Receive(BeNil()))
+		Eventually(stopped, eventTimeout).Should(Receive(BeNil()))
 		Expect(server.Close()).To(Succeed())
 	})
 	return s.Listen.Links
@@ -148,7 +149,7 @@
 	return listener.Addr().String()
 }
 
-func (s *site) status(path string) (int, error) {
+func (s *testDeployment) status(path string) (int, error) {
 	resp, err := http.Get("http://" + s.operators + path)
 	if err != nil {
 		return 0, err
@@ -157,8 +158,8 @@
 	return resp.StatusCode, nil
 }
 
-// complete asks for a streamed completion of so many tokens.
-func (s *site) complete(tokens string, header http.Header) (*http.Response, error) {
+// complete requests a streamed completion of the given number of tokens.
+func (s *testDeployment) complete(tokens string, header http.Header) (*http.Response, error) {
 	body := `{"model":"draft","prompt":"x","stream":true,"max_tokens":` + tokens + `}`
 	req, err := http.NewRequest(http.MethodPost, "http://"+s.callers+"/v1/completions", strings.NewReader(body))
 	if err != nil {
@@ -171,11 +172,10 @@
 }
 
 var _ = Describe("Run", func() {
-	// A VM is replaced while a booker watches a draft being written, and the
-	// balancer sends one more request before it has noticed. Both get their
-	// whole answers.
-	It("finishes what runs, and what the balancer still sends, when it is told to stop", func() {
-		s := startSite()
+	// A VM is shut down while an answer is streamed, and the load balancer sends
+	// one more request before it has noticed. Both get complete answers.
+	It("finishes running requests and those that the load balancer still sends when it shuts down", func() {
+		s := startDeployment()
 		resp, err := s.complete("300", nil)
 		Expect(err).NotTo(HaveOccurred())
 		defer resp.Body.Close()
@@ -184,7 +184,7 @@
 		Expect(err).NotTo(HaveOccurred())
 
 		s.stop()
-		Eventually(func() (int, error) { return s.status("/readyz") }, soon, "5ms").
+		Eventually(func() (int, error) { return s.status("/readyz") }, eventTimeout, "5ms").
 			Should(Equal(http.StatusServiceUnavailable))
 		late, err := s.complete("3", nil)
 		Expect(err).NotTo(HaveOccurred())
@@ -198,13 +198,13 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(strings.Count(string(rest), "\ndata: {")).To(BeNumerically(">=", 299))
 		Expect(string(rest)).To(HaveSuffix("data: [DONE]\n\n"))
-		Eventually(s.stopped, soon).Should(Receive(BeNil()))
+		Eventually(s.stopped, eventTimeout).Should(Receive(BeNil()))
 	})
 
-	// A draft takes longer than the booker's call. The answer that can no longer
-	// help is given up, and it does not end as if it were whole.
-	It("breaks off an answer that passes its deadline", func() {
-		s := startSite()
+	// An answer takes longer than the caller's deadline. It is aborted, and the
+	// stream must not end as if the answer were complete.
+	It("aborts an answer at its deadline", func() {
+		s := startDeployment()
 		resp, err := s.complete("300", http.Header{"Pistachioroad-Timeout": {"300ms"}})
 		Expect(err).NotTo(HaveOccurred())
 		defer resp.Body.Close()
@@ -215,6 +215,6 @@
 		}
 		Expect(string(body)).NotTo(ContainSubstring("[DONE]"))
 		s.stop()
-		Eventually(s.stopped, soon).Should(Receive(BeNil()))
+		Eventually(s.stopped, eventTimeout).Should(Receive(BeNil()))
 	})
 })
--- a/internal/entry/fleet.go
+++ b/internal/entry/fleet.go
@@ -15,16 +15,16 @@
 	"pistachioroad.dev/pistachioroad/internal/wire"
 )
 
-// fleet gives the duties of this entry what the membership knows, each in the
-// form that it asks for: view.Source and links.Objects.
+// fleet adapts the member's snapshots to the interfaces that the duties of this
+// entry use: view.Source and links.Objects.
 type fleet struct {
 	*member.Member
 	settings settings.Settings
-	current  atomic.Pointer[adapted]
+	cached   atomic.Pointer[cachedView]
 }
 
-// adapted is the View of a Snapshot.
-type adapted struct {
+// cachedView is the View of a Snapshot.
+type cachedView struct {
 	snapshot *member.Snapshot
 	view     *view.View
 }
@@ -33,22 +33,22 @@
 	return &fleet{Member: m, settings: s}
 }
 
-// View implements view.Source. It returns the same View until the picture of
-// the fleet changes.
+// View implements view.Source. It returns the same View until the snapshot
+// changes.
 func (f *fleet) View() *view.View {
 	snapshot := f.Snapshot()
-	if a := f.current.Load(); a != nil && a.snapshot == snapshot {
-		return a.view
+	if c := f.cached.Load(); c != nil && c.snapshot == snapshot {
+		return c.view
 	}
 	v := &view.View{VMs: snapshot.VMs, Config: snapshot.Config}
 	if snapshot.PlanVersion > 0 {
 		v.Plan = &snapshot.Plan
 	}
-	f.current.Store(&adapted{snapshot: snapshot, view: v})
+	f.cached.Store(&cachedView{snapshot: snapshot, view: v})
 	return v
 }
 
-// fleetDump is what the process knows of the fleet, for people.
+// fleetDump is the state of the fleet in the dump for operators.
 type fleetDump struct {
 	VMs       int               `json:"vms"`
 	ListAge   string            `json:"vm_list_age"`
@@ -57,7 +57,7 @@
 	Confirmed bool              `json:"confirmed"`
 }
 
-// Dump returns what the process knows of the fleet.
+// Dump returns the last known state of the fleet.
 func (f *fleet) Dump(context.Context) any {
 	snapshot := f.Snapshot()
 	return fleetDump{
@@ -75,21 +75,22 @@
 // Newer implements links.Objects.
 func (f *fleet) Newer(peer *wire.Versions) []*wire.Object { return f.Snapshot().Newer(peer) }
 
-// planning is what the planner goes by. It implements planner.Source.
-type planning struct {
+// plannerSource is the input of the planner. It implements planner.Source.
+type plannerSource struct {
 	*fleet
 	router *router.Router
 }
 
-// pictureTimeout bounds the wait for the router's reports.
-const pictureTimeout = time.Second
+// loadsTimeout limits the wait for the loads and the demand from the router.
+const loadsTimeout = time.Second
 
-// Picture implements planner.Source.
-func (p *planning) View() planner.View {
-	ctx, cancel := context.WithTimeout(context.Background(), pictureTimeout)
+// View implements planner.Source. It hides fleet.View, which implements
+// view.Source.
+func (p *plannerSource) View() planner.View {
+	ctx, cancel := context.WithTimeout(context.Background(), loadsTimeout)
 	defer cancel()
 	snapshot := p.Snapshot()
-	picture := planner.View{
+	input := planner.View{
 		VMs:     snapshot.VMs,
 		Config:  snapshot.Config,
 		Plan:    snapshot.Plan,
@@ -98,27 +99,27 @@
 	}
 	for name, service := range p.settings.Entry.Services {
 		if service.Slots > 0 {
-			picture.Slots[name] = service.Slots
+			input.Slots[name] = service.Slots
 		}
 	}
 	// Without reports the planner assigns no roles, but still key slots.
 	loads, _ := p.router.LoadReports(ctx)
 	for name, l := range loads {
 		if l.Load != nil {
-			picture.Reports[name] = planner.LoadReport{At: l.ReceivedAt, Load: l.Load}
+			input.Reports[name] = planner.LoadReport{At: l.ReceivedAt, Load: l.Load}
 		}
 	}
-	picture.Demand, _ = p.router.Demand(ctx)
-	return picture
+	input.Demand, _ = p.router.Demand(ctx)
+	return input
 }
 
 // plannerCandidates is how many entries of a region may hold the planner's
-// lease: enough to survive two at once, few enough that reading it costs the
-// store nothing.
+// lease: enough to tolerate two concurrent failures, few enough that polling the
+// lease adds no noticeable load to the store.
 const plannerCandidates = 3
 
-// Candidate implements planner.Source.
-func (p *planning) LeaseCandidate() bool {
+// LeaseCandidate implements planner.Source.
+func (p *plannerSource) LeaseCandidate() bool {
 	process := p.settings.Process
 	names := []string{}
 	for _, vm := range p.Snapshot().VMs {
--- a/internal/entry/serve/request.go
+++ b/internal/entry/serve/request.go
@@ -13,32 +13,32 @@
 	"pistachioroad.dev/pistachioroad/internal/wire"
 )
 
-// Request is one request of a caller. Either Generate or Call is set.
+// Request is a caller's request. Exactly one of Generate and Call is set.
 type Request struct {
 	ID uuid.UUID
-	// Caller is the account that pays for the request.
+	// Caller is the client account that the request is charged to.
 	Caller   string
 	Service  string
 	Deadline time.Time
 	Class    wire.Class
-	// Idempotent requests may be repeated.
+	// Idempotent requests may be run more than once.
 	Idempotent bool
-	// Key is the idempotency key, if any; BodyDigest tells two requests under
-	// one key apart.
+	// Key is the idempotency key, if any. BodyDigest detects two different
+	// requests under one key.
 	Key        string
 	BodyDigest uint64
 	Generate   *wire.Generate
 	Call       *wire.Call
 }
 
-// Sink takes the answer. Its methods are called by one goroutine.
+// Sink receives the answer. Its methods are called from a single goroutine.
 type Sink interface {
-	// Deliver takes the next piece of the answer. An error says that the
-	// caller is gone.
+	// Deliver receives the next part of the answer. An error means that the
+	// caller has disconnected.
 	Deliver(data []byte, tokens uint32) error
-	// Finish says that what was delivered is the whole answer.
+	// Finish reports that the answer is complete.
 	Finish(f call.Finish)
-	// Fail says that there will be no whole answer.
+	// Fail reports that the request failed; what was delivered is incomplete.
 	Fail(err *verdict.Error)
 }
 
@@ -52,7 +52,7 @@
 	}
 }
 
-// routing returns what the router needs to know.
+// routing returns the request in the form that the router uses.
 func (r *Request) routing() *router.Request {
 	routing := &router.Request{
 		ID:           r.ID.String(),
--- a/internal/entry/serve/run.go
+++ b/internal/entry/serve/run.go
@@ -10,11 +10,12 @@
 	"pistachioroad.dev/pistachioroad/internal/wire"
 )
 
-// inboxSize bounds the frames that wait for a slow caller; beyond it the
-// stream's own flow control holds the sidecar back.
+// inboxSize limits the events queued for a slow caller. When the inbox is full,
+// the flow control of the stream applies back-pressure to the sidecar.
 const inboxSize = 16
 
-// run is one request under way. It belongs to the goroutine of loop.
+// run is the state of one request in progress. Goroutines other than that of
+// loop use only server, request, inbox and done.
 type run struct {
 	server  *Server
 	request *Request
@@ -22,115 +23,117 @@
 	sink    Sink
 	machine *call.Machine
 
-	inbox chan posted
+	inbox chan attemptEvent
 	done  chan struct{}
-	// pending holds events that effects gave rise to at once.
-	pending []call.Event
-	// firstRoute answers the first Route.
+	// pendingEvents are events that resulted from effects and are processed next.
+	pendingEvents []call.Event
+	// firstRoute is the response to the first Route, known since the admission.
 	firstRoute call.Event
-	// streams are those of all attempts; the last is the current one's.
+	// streams are those of all attempts, by attempt number.
 	streams map[uint32]*stream
-	// silent is closed when the current attempt's connection goes silent.
-	silent <-chan struct{}
+	// linkSilent is closed when the connection of the current attempt goes silent.
+	linkSilent <-chan struct{}
 
-	beganAt   time.Time
-	target    string
-	sentAt    time.Time
-	began     bool
-	answered  bool
-	succeeded bool
+	admittedAt         time.Time
+	targetServer       string
+	sentAt             time.Time
+	firstChunkReceived bool
+	outcomeReported    bool
+	succeeded          bool
 }
 
-// posted is an event from an attempt's goroutine.
-type posted struct {
+// attemptEvent is an event from the goroutine of an attempt.
+type attemptEvent struct {
 	event call.Event
-	// stream comes with Sent.
+	// stream is set for Sent only.
 	stream *stream
 }
 
 func newRun(s *Server, request *Request, routing *router.Request, sink Sink) *run {
 	return &run{
-		server:  s,
-		request: request,
-		routing: routing,
-		sink:    sink,
-		machine: call.New(request.spec()),
-		inbox:   make(chan posted, inboxSize),
-		done:    make(chan struct{}),
-		streams: map[uint32]*stream{},
-		beganAt: time.Now(),
+		server:     s,
+		request:    request,
+		routing:    routing,
+		sink:       sink,
+		machine:    call.New(request.spec()),
+		inbox:      make(chan attemptEvent, inboxSize),
+		done:       make(chan struct{}),
+		streams:    map[uint32]*stream{},
+		admittedAt: time.Now(),
 	}
 }
 
-// post passes an event to the run; false once the run has ended.
-func (r *run) post(p posted) bool {
+// post queues an event for loop. It returns false if the run has finished.
+func (r *run) post(ev attemptEvent) bool {
 	select {
-	case r.inbox <- p:
+	case r.inbox <- ev:
 		return true
 	case <-r.done:
 		return false
 	}
 }
 
-// receive notes what an event says about the attempt and passes it on.
-func (r *run) receive(ctx context.Context, p posted) {
-	switch e := p.event.(type) {
+// handle records what an event means for the current attempt and passes it to
+// the machine.
+func (r *run) handle(ctx context.Context, ev attemptEvent) {
+	switch e := ev.event.(type) {
 	case call.Sent:
-		r.streams[e.Attempt] = p.stream
+		r.streams[e.Attempt] = ev.stream
 		if e.Attempt == r.machine.Attempt() {
-			r.silent = p.stream.conn.Silent()
+			r.linkSilent = ev.stream.link.Silent()
 		}
 	case call.Chunk:
 		if e.Attempt == r.machine.Attempt() {
-			r.attemptBegan()
+			r.recordFirstChunk()
 		}
 	case call.Final:
 		if e.Attempt == r.machine.Attempt() {
-			r.attemptBegan()
+			r.recordFirstChunk()
 		}
 	case call.StreamLost:
 		if e.Attempt == r.machine.Attempt() {
-			r.attemptFailed()
+			r.recordFailure()
 		}
 	case call.Refusal:
-		r.refused(e)
+		r.recordRefusal(e)
 	}
-	r.step(ctx, p.event)
+	r.step(ctx, ev.event)
 }
 
-func (r *run) attemptBegan() {
-	if r.began {
+func (r *run) recordFirstChunk() {
+	if r.firstChunkReceived {
 		return
 	}
-	r.began = true
-	firstPiece.UpdateSince(r.beganAt)
-	r.server.router.ReportOutcome(r.routing, r.target, router.Outcome{TimeToFirstPiece: time.Since(r.sentAt)})
+	r.firstChunkReceived = true
+	timeToFirstChunk.UpdateSince(r.admittedAt)
+	r.server.router.ReportOutcome(r.routing, r.targetServer, router.Outcome{TimeToFirstPiece: time.Since(r.sentAt)})
 }
 
-func (r *run) attemptFailed() {
-	r.server.router.ReportOutcome(r.routing, r.target, router.Outcome{TimeToFirstPiece: time.Since(r.sentAt), Failed: true})
+func (r *run) recordFailure() {
+	r.server.router.ReportOutcome(r.routing, r.targetServer, router.Outcome{TimeToFirstPiece: time.Since(r.sentAt), Failed: true})
 }
 
-func (r *run) refused(e call.Refusal) {
+func (r *run) recordRefusal(e call.Refusal) {
 	if e.Attempt != r.machine.Attempt() {
 		return
 	}
 	if load := e.Frame.GetLoad(); load != nil {
-		r.server.router.UpdateLoad(r.target, load)
+		r.server.router.UpdateLoad(r.targetServer, load)
 	}
 	code := verdict.Code(e.Frame.GetCode())
-	r.server.router.ReportOutcome(r.routing, r.target, router.Outcome{
+	r.server.router.ReportOutcome(r.routing, r.targetServer, router.Outcome{
 		Rejected: e.Frame.GetVerdict() == wire.Verdict_VERDICT_NOT_RUN,
 		Failed:   code == verdict.CodeBackendFailed || code == verdict.CodeAnswerBroken,
 	})
 }
 
-// step feeds one event, and those that its effects give rise to at once.
+// step feeds one event to the machine, followed by the events that its effects
+// result in.
 func (r *run) step(ctx context.Context, event call.Event) {
-	r.pending = append(r.pending, event)
-	for len(r.pending) > 0 {
-		next := r.pending[0]
-		r.pending = r.pending[1:]
+	r.pendingEvents = append(r.pendingEvents, event)
+	for len(r.pendingEvents) > 0 {
+		next := r.pendingEvents[0]
+		r.pendingEvents = r.pendingEvents[1:]
 		for _, effect := range r.machine.Step(time.Now(), next) {
 			r.apply(ctx, effect)
 		}
@@ -140,31 +143,32 @@
 func (r *run) apply(ctx context.Context, effect call.Effect) {
 	switch e := effect.(type) {
 	case call.Route:
-		r.pending = append(r.pending, r.route(ctx, e))
+		r.pendingEvents = append(r.pendingEvents, r.route(ctx, e))
 	case call.SendStart:
 		r.sendStart(ctx, e)
 	case call.Resolve:
-		go r.resolve(ctx, e, r.sentClock(e.Attempt))
+		go r.resolve(ctx, e, r.startClock(e.Attempt))
 	case call.Cancel:
 		r.cancel(e)
 	case call.Deliver:
 		if r.sink.Deliver(e.Data, e.Tokens) != nil {
-			r.pending = append(r.pending, call.CallerDisconnected{})
+			r.pendingEvents = append(r.pendingEvents, call.CallerDisconnected{})
 		}
 	case call.Finish:
-		r.succeeded, r.answered = true, true
+		r.succeeded, r.outcomeReported = true, true
 		succeeded.Inc(1)
-		duration.UpdateSince(r.beganAt)
+		duration.UpdateSince(r.admittedAt)
 		r.sink.Finish(e)
 	case call.Fail:
-		r.answered = true
-		fail(r.sink, e.Err)
+		r.outcomeReported = true
+		reportFailure(r.sink, e.Err)
 	case call.Explain:
 		r.server.explain.Add(time.Now(), r.routing.ID, e.Decision, e.Reason)
 	}
 }
 
-// route asks the router, but for the first attempt: admission has answered that.
+// route queries the router, except for the first attempt, which was routed by the
+// admission.
 func (r *run) route(ctx context.Context, e call.Route) call.Event {
 	if first := r.firstRoute; first != nil {
 		r.firstRoute = nil
@@ -174,17 +178,18 @@
 }
 
 func (r *run) sendStart(ctx context.Context, e call.SendStart) {
-	r.target = e.Server
+	r.targetServer = e.Server
 	r.sentAt = time.Now()
-	r.began = false
-	r.silent = nil
-	go r.attempt(ctx, e)
+	r.firstChunkReceived = false
+	r.linkSilent = nil
+	go r.runAttempt(ctx, e)
 }
 
-// sentClock returns the clock of the Start frame of an attempt.
-func (r *run) sentClock(attempt uint32) int64 {
+// startClock returns the ClockUs of the Start frame of an attempt, or 0 if none
+// was sent.
+func (r *run) startClock(attempt uint32) int64 {
 	if s, ok := r.streams[attempt]; ok {
-		return s.clock
+		return s.startClock
 	}
 	return 0
 }
@@ -203,56 +208,56 @@
 	}
 }
 
-// attempt sends one Start and passes on what comes back. It has a goroutine of
-// its own because a silent connection blocks both.
-func (r *run) attempt(ctx context.Context, e call.SendStart) {
-	s, err := r.open(ctx, e.Server)
+// runAttempt sends one Start and posts the received frames. It runs in its own
+// goroutine because sending and receiving block on a silent connection.
+func (r *run) runAttempt(ctx context.Context, e call.SendStart) {
+	s, err := r.openStream(ctx, e.Server)
 	if err != nil {
-		r.post(posted{event: call.NotSent{Attempt: e.Attempt}})
+		r.post(attemptEvent{event: call.NotSent{Attempt: e.Attempt}})
 		return
 	}
 	start := r.request.start(e)
-	// The wait for a link has taken a part of the budget.
+	// Waiting for the link has used some of the budget.
 	start.BudgetUs = time.Until(r.request.Deadline).Microseconds()
-	start.ClockUs = s.conn.PeerClock()
-	s.clock = start.ClockUs
-	if !r.post(posted{event: call.Sent{Attempt: e.Attempt, Incarnation: s.conn.Incarnation()}, stream: s}) {
+	start.ClockUs = s.link.PeerClock()
+	s.startClock = start.ClockUs
+	if !r.post(attemptEvent{event: call.Sent{Attempt: e.Attempt, Incarnation: s.link.Incarnation()}, stream: s}) {
 		s.close()
 		return
 	}
-	if s.wire.Send(&wire.Frame{Body: &wire.Frame_Start{Start: start}}) == nil {
-		r.receiveAll(e.Attempt, s.wire)
+	if s.frames.Send(&wire.Frame{Body: &wire.Frame_Start{Start: start}}) == nil {
+		r.receiveFrames(e.Attempt, s.frames)
 	}
-	r.post(posted{event: call.StreamLost{Attempt: e.Attempt}})
+	r.post(attemptEvent{event: call.StreamLost{Attempt: e.Attempt}})
 }
 
-func (r *run) open(ctx context.Context, server string) (*stream, error) {
-	conn, err := r.server.pool.Conn(ctx, server)
+func (r *run) openStream(ctx context.Context, server string) (*stream, error) {
+	link, err := r.server.pool.Conn(ctx, server)
 	if err != nil {
 		return nil, err
 	}
-	w, err := conn.Open()
+	frames, err := link.Open()
 	if err != nil {
 		return nil, err
 	}
-	return &stream{conn: conn, wire: w}, nil
+	return &stream{link: link, frames: frames}, nil
 }
 
-// receiveAll passes on the frames of an attempt until its stream ends.
-func (r *run) receiveAll(attempt uint32, w *wire.Conn) {
+// receiveFrames posts the frames of an attempt until its stream ends.
+func (r *run) receiveFrames(attempt uint32, frames *wire.Conn) {
 	for {
-		frame, err := w.Receive()
+		frame, err := frames.Receive()
 		if err != nil {
 			return
 		}
-		event := eventOf(attempt, frame)
-		if event != nil && !r.post(posted{event: event}) {
+		event := frameEvent(attempt, frame)
+		if event != nil && !r.post(attemptEvent{event: event}) {
 			return
 		}
 	}
 }
 
-func eventOf(attempt uint32, frame *wire.Frame) call.Event {
+func frameEvent(attempt uint32, frame *wire.Frame) call.Event {
 	switch body := frame.GetBody().(type) {
 	case *wire.Frame_Chunk:
 		return call.Chunk{Attempt: attempt, Frame: body.Chunk}
@@ -265,20 +270,20 @@
 	}
 }
 
-// resolve asks on the newest connection what became of the request.
+// resolve queries the outcome of the request on the newest connection.
 func (r *run) resolve(ctx context.Context, e call.Resolve, clock int64) {
 	ctx, cancel := context.WithTimeout(ctx, call.ResolveTimeout)
 	defer cancel()
-	resolution, err := r.ask(ctx, e, clock)
+	resolution, err := r.queryOutcome(ctx, e, clock)
 	if err != nil {
-		r.post(posted{event: call.ResolveFailed{Attempt: e.Attempt}})
+		r.post(attemptEvent{event: call.ResolveFailed{Attempt: e.Attempt}})
 		return
 	}
-	r.post(posted{event: call.Resolution{Attempt: e.Attempt, Frame: resolution}})
+	r.post(attemptEvent{event: call.Resolution{Attempt: e.Attempt, Frame: resolution}})
 }
 
-func (r *run) ask(ctx context.Context, e call.Resolve, clock int64) (*wire.Resolution, error) {
-	s, err := r.open(ctx, e.Server)
+func (r *run) queryOutcome(ctx context.Context, e call.Resolve, clock int64) (*wire.Resolution, error) {
+	s, err := r.openStream(ctx, e.Server)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/entry/serve/serve.go
+++ b/internal/entry/serve/serve.go
@@ -1,5 +1,5 @@
-// Package serve carries one request through its attempts: it drives the state
-// machine of package call with the router, the links and the caller.
+// Package serve executes requests: it drives the state machine of package call
+// and connects it to the router, the links to the sidecars, and the caller.
 package serve
 
 import (
@@ -17,14 +17,15 @@
 	"pistachioroad.dev/pistachioroad/internal/verdict"
 )
 
-// Server serves requests. Any goroutine may call it.
+// Server serves requests. It is safe for concurrent use.
 type Server struct {
 	router  *router.Router
 	pool    *links.Pool
 	explain *explain.Log
 }
 
-// NewServer returns a Server.
+// NewServer returns a Server that routes with r, sends over the links of pool and
+// adds its decisions to explain.
 func NewServer(r *router.Router, pool *links.Pool, explain *explain.Log) *Server {
 	return &Server{router: r, pool: pool, explain: explain}
 }
@@ -33,20 +34,20 @@
 	requests  = metrics.GetOrRegisterCounter("entry.requests", nil)
 	succeeded = metrics.GetOrRegisterCounter("entry.requests.succeeded", nil)
 	inFlight  = metrics.GetOrRegisterCounter("entry.requests.in_flight", nil)
-	// firstPiece is the time to the first piece of an attempt's answer, duration
-	// that of whole answers; both from the admission.
-	firstPiece = metrics.GetOrRegisterTimer("entry.requests.first_piece", nil)
-	duration   = metrics.GetOrRegisterTimer("entry.requests.duration", nil)
-	panics     = metrics.GetOrRegisterCounter("entry.requests.panics", nil)
-	failed     = map[verdict.Verdict]metrics.Counter{
+	// timeToFirstChunk measures the time to the first chunk of each attempt,
+	// duration the time to the complete answer; both from the admission.
+	timeToFirstChunk = metrics.GetOrRegisterTimer("entry.requests.first_piece", nil)
+	duration         = metrics.GetOrRegisterTimer("entry.requests.duration", nil)
+	panics           = metrics.GetOrRegisterCounter("entry.requests.panics", nil)
+	failed           = map[verdict.Verdict]metrics.Counter{
 		verdict.NotRun:     metrics.GetOrRegisterCounter("entry.requests.failed.not_run", nil),
 		verdict.MayHaveRun: metrics.GetOrRegisterCounter("entry.requests.failed.may_have_run", nil),
 		verdict.Ran:        metrics.GetOrRegisterCounter("entry.requests.failed.ran", nil),
 	}
 )
 
-// Do serves one request to its end. The end of ctx says that the caller is
-// gone.
+// Do serves one request and returns when it has finished. Cancelling ctx means
+// that the caller has disconnected.
 func (s *Server) Do(ctx context.Context, request *Request, sink Sink) {
 	requests.Inc(1)
 	inFlight.Inc(1)
@@ -54,7 +55,7 @@
 	routing := request.routing()
 	first, err := s.router.Admit(ctx, routing)
 	if err != nil {
-		fail(sink, err)
+		reportFailure(sink, err)
 		return
 	}
 	r := newRun(s, request, routing, sink)
@@ -65,13 +66,13 @@
 	r.loop(ctx)
 }
 
-func fail(sink Sink, err *verdict.Error) {
+func reportFailure(sink Sink, err *verdict.Error) {
 	failed[err.Verdict].Inc(1)
 	sink.Fail(err)
 }
 
-// recoverPanic gives the caller a verdict when the program has a fault. The
-// request may have been sent by then.
+// recoverPanic reports a panic to the caller as an internal error, with the
+// verdict that the request may have run.
 func (r *run) recoverPanic() {
 	fault := recover()
 	if fault == nil {
@@ -80,12 +81,12 @@
 	panics.Inc(1)
 	log.WithField("request", r.routing.ID).WithField("stack", string(debug.Stack())).Errorf("panic: %v", fault)
 	v := verdict.Worst(r.machine.Verdict(), verdict.MayHaveRun)
-	if !r.answered {
-		fail(r.sink, verdict.New(v, verdict.CodeInternal, "internal fault"))
+	if !r.outcomeReported {
+		reportFailure(r.sink, verdict.New(v, verdict.CodeInternal, "internal fault"))
 	}
 }
 
-// loop feeds the machine until the request has ended.
+// loop feeds events to the machine until the request has finished.
 func (r *run) loop(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -93,11 +94,11 @@
 	for !r.machine.Ended() {
 		timer.Reset(time.Until(r.machine.NextTimer()))
 		select {
-		case p := <-r.inbox:
-			r.receive(ctx, p)
-		case <-r.silent:
-			r.silent = nil
-			r.attemptFailed()
+		case ev := <-r.inbox:
+			r.handle(ctx, ev)
+		case <-r.linkSilent:
+			r.linkSilent = nil
+			r.recordFailure()
 			r.step(ctx, call.LinkSilent{Attempt: r.machine.Attempt()})
 		case <-timer.C:
 			r.step(ctx, call.Timer{})
--- a/internal/entry/serve/serve_test.go
+++ b/internal/entry/serve/serve_test.go
@@ -33,19 +33,20 @@
 	RunSpecs(t, "serve")
 }
 
-// soon bounds what happens by itself; it is no claim about speed.
-const soon = 20 * time.Second
+// eventTimeout limits the wait for asynchronous steps; it is not a performance
+// requirement.
+const eventTimeout = 20 * time.Second
 
-// sidecar is a fake whose answers to Start and Resolve a spec writes.
+// sidecar is a fake whose responses to Start and Resolve are set by each spec.
 type sidecar struct {
-	name      string
-	service   string
-	listener  net.Listener
-	muted     atomic.Bool
-	start     func(conn *wire.Conn, start *wire.Start)
-	resolve   func(r *wire.Resolve) *wire.Resolution
-	cancelled chan struct{}
-	// closed says that the stream of an attempt has ended.
+	name              string
+	service           string
+	listener          net.Listener
+	heartbeatsStopped atomic.Bool
+	start             func(conn *wire.Conn, start *wire.Start)
+	resolve           func(r *wire.Resolve) *wire.Resolution
+	cancelled         chan struct{}
+	// closed reports that the stream of an attempt has ended.
 	closed atomic.Bool
 }
 
@@ -103,12 +104,13 @@
 	}
 }
 
-// control beats until the sidecar is muted; a later connection beats again.
+// control sends heartbeats until heartbeatsStopped is set; a new connection
+// starts them again.
 func (s *sidecar) control(session *link.Session, conn *wire.Conn) {
 	_ = conn.Send(&wire.Frame{Body: &wire.Frame_Hello{Hello: &wire.Hello{Incarnation: s.name}}})
-	s.muted.Store(false)
+	s.heartbeatsStopped.Store(false)
 	for range time.Tick(50 * time.Millisecond) {
-		if s.muted.Load() {
+		if s.heartbeatsStopped.Load() {
 			return
 		}
 		_ = conn.Send(&wire.Frame{Body: &wire.Frame_Load{Load: &wire.Load{
@@ -135,14 +137,14 @@
 	}
 }
 
-// answer sends the words of an answer from the point that start names, and its
-// end if the answer is to be whole.
-func answer(conn *wire.Conn, start *wire.Start, words []string, whole bool) {
+// answer sends words as the chunks of an answer, followed by the Final frame if
+// complete is set, and closes the stream.
+func answer(conn *wire.Conn, start *wire.Start, words []string, complete bool) {
 	chunks, final := frames(start, words)
 	for _, c := range chunks {
 		_ = conn.Send(&wire.Frame{Body: &wire.Frame_Chunk{Chunk: c}})
 	}
-	if whole {
+	if complete {
 		_ = conn.Send(&wire.Frame{Body: &wire.Frame_Final{Final: final}})
 	}
 	_ = conn.Close()
@@ -164,7 +166,7 @@
 	}
 }
 
-// sink keeps what a caller gets.
+// sink records what a caller gets.
 type sink struct {
 	mu        sync.Mutex
 	text      strings.Builder
@@ -205,7 +207,7 @@
 	return vms
 }
 
-// startServer runs an entry's duties over the sidecars until the spec ends.
+// startServer runs the router and the links to the sidecars until the spec ends.
 func startServer(sidecars ...*sidecar) *serve.Server {
 	GinkgoHelper()
 	views := fixedView{view: &view.View{VMs: backends(sidecars)}}
@@ -227,11 +229,11 @@
 		for _, s := range sidecars {
 			g.Expect(loads[s.name].Load).NotTo(BeNil())
 		}
-	}, soon, 10*time.Millisecond).Should(Succeed())
+	}, eventTimeout, 10*time.Millisecond).Should(Succeed())
 	return serve.NewServer(r, pool, log)
 }
 
-func draft() *serve.Request {
+func generateRequest() *serve.Request {
 	return &serve.Request{
 		ID: uuid.Must(uuid.NewV7()), Caller: "c", Service: sharedstate.ServiceModels,
 		Deadline: time.Now().Add(time.Minute), Idempotent: true,
@@ -239,7 +241,7 @@
 	}
 }
 
-func hold() *serve.Request {
+func callRequest() *serve.Request {
 	return &serve.Request{
 		ID: uuid.Must(uuid.NewV7()), Caller: "c", Service: "holds", Deadline: time.Now().Add(time.Minute),
 		Call: &wire.Call{Method: "POST", Path: "/holds"},
@@ -249,18 +251,18 @@
 var words = []string{"one ", "two ", "three ", "four "}
 
 var _ = Describe("Server", func() {
-	It("streams an answer and takes its end only when it is whole", func() {
+	It("streams an answer and finishes when it is complete", func() {
 		a := newSidecar("a", sharedstate.ServiceModels)
 		a.start = func(conn *wire.Conn, start *wire.Start) { answer(conn, start, words, true) }
 		caller := newSink()
-		startServer(a).Do(context.Background(), draft(), caller)
+		startServer(a).Do(context.Background(), generateRequest(), caller)
 		Expect(caller.text.String()).To(Equal("one two three four "))
 		Expect(caller.finished).To(BeTrue())
 	})
 
-	// An engine crashes in the middle of a draft and its sidecar ends the
-	// stream. The caller sees one answer, which another engine went on with.
-	It("continues a broken answer at another engine", func() {
+	// An engine crashes while generating and its sidecar ends the stream. The
+	// caller gets one answer, continued by another engine.
+	It("continues an interrupted answer at another engine", func() {
 		a, b := newSidecar("a", sharedstate.ServiceModels), newSidecar("b", sharedstate.ServiceModels)
 		var first atomic.Bool
 		run := func(conn *wire.Conn, start *wire.Start) {
@@ -276,40 +278,41 @@
 		a.start, b.start = run, run
 		a.resolve, b.resolve = unknown, unknown
 		caller := newSink()
-		startServer(a, b).Do(context.Background(), draft(), caller)
+		startServer(a, b).Do(context.Background(), generateRequest(), caller)
 		Expect(caller.text.String()).To(Equal("one two three four "))
 		Expect(caller.finished).To(BeTrue())
 	})
 
-	// The connection falls silent after a hold was sent, and the booking
-	// service has placed it. Its answer comes over a second connection; asked to
-	// place it again, the service would place two.
-	It("fetches the answer of a hold behind a silent link", func() {
+	// Guards against a second run: the connection goes silent after a
+	// non-idempotent call was sent and run. Its answer is fetched over a second
+	// connection.
+	It("fetches the answer to a call behind a silent link", func() {
 		a := newSidecar("a", "holds")
 		var runs atomic.Int64
 		started := make(chan *wire.Start, 1)
 		a.start = func(_ *wire.Conn, start *wire.Start) {
 			runs.Add(1)
 			started <- start
-			a.muted.Store(true)
+			a.heartbeatsStopped.Store(true)
 		}
 		var asked atomic.Bool
 		a.resolve = func(*wire.Resolve) *wire.Resolution {
-			// The silent connection is still there; its end is not waited for.
+			// The silent connection is still open: the query does not wait for its
+			// end.
 			asked.Store(!a.closed.Load())
 			chunks, final := frames(<-started, []string{"placed"})
 			return &wire.Resolution{Outcome: wire.Outcome_OUTCOME_RAN, Chunks: chunks, Final: final}
 		}
 		caller := newSink()
-		startServer(a).Do(context.Background(), hold(), caller)
+		startServer(a).Do(context.Background(), callRequest(), caller)
 		Expect(caller.text.String()).To(Equal("placed"))
 		Expect(runs.Load()).To(BeEquivalentTo(1))
 		Expect(asked.Load()).To(BeTrue())
 	})
 
-	// A booker closes the window while a draft is written. Nobody reads the
-	// rest, and the engine's time is for others.
-	It("cancels the work of a caller that went away", func() {
+	// A caller disconnects while its answer is being generated. Cancelling frees
+	// the engine for other requests.
+	It("cancels the work of a caller that has disconnected", func() {
 		a := newSidecar("a", sharedstate.ServiceModels)
 		a.start = func(conn *wire.Conn, start *wire.Start) {
 			chunks, _ := frames(start, words[:1])
@@ -321,17 +324,17 @@
 		server := startServer(a)
 		go func() {
 			defer close(done)
-			server.Do(ctx, draft(), caller)
+			server.Do(ctx, generateRequest(), caller)
 		}()
-		Eventually(caller.delivered, soon).Should(Receive())
+		Eventually(caller.delivered, eventTimeout).Should(Receive())
 		leave()
-		Eventually(a.cancelled, soon).Should(Receive())
-		Eventually(done, soon).Should(BeClosed())
+		Eventually(a.cancelled, eventTimeout).Should(Receive())
+		Eventually(done, eventTimeout).Should(BeClosed())
 		Expect(caller.err.Code).To(Equal(verdict.CodeCancelled))
 		Expect(caller.err.Verdict).To(Equal(verdict.MayHaveRun))
 	})
 
-	It("tells what a sidecar refused, with its verdict", func() {
+	It("reports the refusal of a sidecar, with its verdict", func() {
 		a := newSidecar("a", "holds")
 		a.start = func(conn *wire.Conn, start *wire.Start) {
 			_ = conn.Send(&wire.Frame{Body: &wire.Frame_Refusal{Refusal: &wire.Refusal{
@@ -340,7 +343,7 @@
 			}}})
 		}
 		caller := newSink()
-		startServer(a).Do(context.Background(), hold(), caller)
+		startServer(a).Do(context.Background(), callRequest(), caller)
 		Expect(caller.err.Code).To(Equal(verdict.CodeKeyReused))
 		Expect(caller.err.Verdict).To(Equal(verdict.NotRun))
 	})
--- a/internal/entry/serve/stream.go
+++ b/internal/entry/serve/stream.go
@@ -10,22 +10,21 @@
 	"pistachioroad.dev/pistachioroad/internal/wire"
 )
 
-// cancelTimeout bounds the wait for a Cancel frame to be written before its
-// stream is closed.
+// cancelTimeout limits how long close waits for the Cancel frame to be written.
 const cancelTimeout = time.Second
 
-// stream is the stream of one attempt or Resolve.
+// stream is the stream of one attempt or of one Resolve.
 type stream struct {
-	conn *links.Conn
-	wire *wire.Conn
-	// clock is the ClockUs of the Start.
-	clock int64
-	// cancelled is closed once the Cancel frame was written; nil without one.
+	link   *links.Conn
+	frames *wire.Conn
+	// startClock is the ClockUs of the Start frame.
+	startClock int64
+	// cancelled is closed once the Cancel frame was written; nil if there is none.
 	cancelled chan struct{}
 }
 
-// cancel sends a Cancel frame without waiting for it: the connection may be
-// silent.
+// cancel sends a Cancel frame without waiting for the write, which blocks on a
+// silent connection. It sends at most one.
 func (s *stream) cancel(id []byte) {
 	if s.cancelled != nil {
 		return
@@ -33,14 +32,15 @@
 	s.cancelled = make(chan struct{})
 	go func() {
 		defer close(s.cancelled)
-		_ = s.wire.Send(&wire.Frame{Body: &wire.Frame_Cancel{Cancel: &wire.Cancel{RequestId: id}}})
+		_ = s.frames.Send(&wire.Frame{Body: &wire.Frame_Cancel{Cancel: &wire.Cancel{RequestId: id}}})
 	}()
 }
 
-// close closes the stream, after its Cancel frame.
+// close closes the stream once its Cancel frame, if any, was written or
+// cancelTimeout has elapsed.
 func (s *stream) close() {
 	if s.cancelled == nil {
-		_ = s.wire.Close()
+		_ = s.frames.Close()
 		return
 	}
 	go func() {
@@ -50,19 +50,19 @@
 		case <-s.cancelled:
 		case <-timer.C:
 		}
-		_ = s.wire.Close()
+		_ = s.frames.Close()
 	}()
 }
 
-// resolve sends a Resolve and waits for its answer.
+// resolve sends a Resolve and waits for the Resolution.
 func (s *stream) resolve(ctx context.Context, r *wire.Resolve) (*wire.Resolution, error) {
 	answers := make(chan *wire.Resolution, 1)
 	go func() {
 		defer close(answers)
-		if s.wire.Send(&wire.Frame{Body: &wire.Frame_Resolve{Resolve: r}}) != nil {
+		if s.frames.Send(&wire.Frame{Body: &wire.Frame_Resolve{Resolve: r}}) != nil {
 			return
 		}
-		frame, err := s.wire.Receive()
+		frame, err := s.frames.Receive()
 		if err == nil && frame.GetResolution() != nil {
 			answers <- frame.GetResolution()
 		}
@@ -70,10 +70,10 @@
 	select {
 	case answer, ok := <-answers:
 		if !ok {
-			return nil, eris.New("no resolution")
+			return nil, eris.New("stream ended without a resolution")
 		}
 		return answer, nil
 	case <-ctx.Done():
-		return nil, eris.Wrap(ctx.Err(), "resolve")
+		return nil, eris.Wrap(ctx.Err(), "wait for resolution")
 	}
 }
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -17,9 +17,9 @@
 	"pistachioroad.dev/pistachioroad/internal/sharedstate"
 )
 
-// operators is what the operator API shows of the fleet. It implements
+// operatorFleet provides the fleet's state to the operator API. It implements
 // operator.Fleet.
-type operators struct {
+type operatorFleet struct {
 	fleet   *fleet
 	router  *router.Router
 	pool    *links.Pool
@@ -28,7 +28,7 @@
 }
 
 // Config implements operator.Fleet.
-func (o *operators) Config() sharedstate.Object {
+func (o *operatorFleet) Config() sharedstate.Object {
 	for _, object := range o.fleet.Snapshot().Newer(nil) {
 		if object.GetName() == fleetconfig.ObjectName {
 			return sharedstate.Object{Name: object.GetName(), Version: object.GetVersion(), Value: object.GetValue()}
@@ -38,10 +38,10 @@
 }
 
 // Accept implements operator.Fleet.
-func (o *operators) Accept(object sharedstate.Object) { o.fleet.Offer(object) }
+func (o *operatorFleet) Accept(object sharedstate.Object) { o.fleet.Offer(object) }
 
 // Peers implements operator.Fleet.
-func (o *operators) Peers(context.Context) ([]operator.Peer, error) {
+func (o *operatorFleet) Peers(context.Context) ([]operator.Peer, error) {
 	peers := []operator.Peer{}
 	for _, vm := range o.fleet.Snapshot().VMs {
 		if vm.Name == o.fleet.settings.Process.Name {
@@ -58,7 +58,7 @@
 }
 
 // Status implements operator.Fleet.
-func (o *operators) Status(ctx context.Context) (operator.Status, error) {
+func (o *operatorFleet) Status(ctx context.Context) (operator.Status, error) {
 	loads, err := o.router.LoadReports(ctx)
 	if err != nil {
 		return operator.Status{}, eris.Wrap(err, "status")
@@ -72,11 +72,11 @@
 		Processes: []operator.ProcessStatus{},
 		Engines:   []operator.EngineStatus{},
 		Changes:   []operator.PendingChange{},
-		Store:     o.store(now),
+		Store:     o.storeStatus(now),
 		VMListAge: fleetconfig.Duration(snapshot.ListAge(now)),
 	}
 	for _, vm := range snapshot.VMs {
-		status.Processes = append(status.Processes, o.process(now, snapshot, vm, loads[vm.Name]))
+		status.Processes = append(status.Processes, o.processStatus(now, snapshot, vm, loads[vm.Name]))
 		if vm.Kind != sharedstate.VMBackend || vm.Service != sharedstate.ServiceModels {
 			continue
 		}
@@ -89,7 +89,7 @@
 	return status, nil
 }
 
-func (o *operators) plannerHolder(ctx context.Context) string {
+func (o *operatorFleet) plannerHolder(ctx context.Context) string {
 	state, ok := o.planner.Dump(ctx).(*planner.State)
 	if !ok || state == nil {
 		return ""
@@ -97,7 +97,7 @@
 	return state.Holder
 }
 
-func (o *operators) store(now time.Time) operator.StoreStatus {
+func (o *operatorFleet) storeStatus(now time.Time) operator.StoreStatus {
 	health := o.client.Health()
 	status := operator.StoreStatus{Healthy: health.Up}
 	if !health.LastAnswer.IsZero() {
@@ -109,7 +109,7 @@
 	return status
 }
 
-func (o *operators) process(now time.Time, snapshot *member.Snapshot, vm sharedstate.VM, load router.LoadReport) operator.ProcessStatus {
+func (o *operatorFleet) processStatus(now time.Time, snapshot *member.Snapshot, vm sharedstate.VM, load router.LoadReport) operator.ProcessStatus {
 	p := operator.ProcessStatus{
 		Name:       vm.Name,
 		Kind:       "sidecar",
@@ -187,9 +187,10 @@
 	return e
 }
 
-// changing compares what an engine is to be with what it reports. An engine
-// that was adopted as it was found has a row and was never ordered, so that
-// generations alone would show it as changing for good.
+// changing reports whether the wanted state of an engine differs from the state
+// that it reports. Comparing generations would not do: an engine that the plan
+// adopted in its existing state has a row but never got an order, and would
+// count as changing forever.
 func changing(e operator.EngineStatus) bool {
 	return e.Wanted.Model != "" && describe(e.Wanted) != describe(e.Actual)
 }
@@ -202,7 +203,7 @@
 	}
 }
 
-// describe returns what an engine does: role, model, weights and adapters.
+// describe returns role, model, weights and adapters of an engine as one text.
 func describe(e operator.EngineState) string {
 	parts := append([]string{e.Role, e.Model, e.Weights}, e.Adapters...)
 	return strings.Join(lo.Compact(parts), " ")
--- a/internal/entry/view/view.go
+++ b/internal/entry/view/view.go
@@ -1,5 +1,5 @@
-// Package view is what an entry's duties see of the fleet: the VMs, the
-// configuration and the plan.
+// Package view defines the read-only view of the fleet that the duties of an
+// entry share: the VMs, the configuration and the plan.
 package view
 
 import (
@@ -10,15 +10,15 @@
 	"pistachioroad.dev/pistachioroad/internal/sharedstate"
 )
 
-// View is one picture of the fleet. It is never changed.
+// View is an immutable view of the fleet at one time.
 type View struct {
 	VMs    []sharedstate.VM
 	Config fleetconfig.Config
-	// Plan is nil until one is known.
+	// Plan is nil until one has been received.
 	Plan *plan.Plan
 }
 
-// Source gives the newest View. Any goroutine may call it.
+// Source returns the latest View. It is safe for concurrent use.
 type Source interface {
 	View() *View
 }
@@ -34,12 +34,12 @@
 	return backends
 }
 
-// Values returns the configuration in force for a service and model.
+// ConfigValues returns the active configuration values of a service and model.
 func (v *View) ConfigValues(service, model string, now time.Time) fleetconfig.Values {
 	return v.Config.For(fleetconfig.Scope{Service: service, Model: model}, now)
 }
 
-// Row returns the plan's row of a backend server.
+// PlanRow returns the plan's row of a backend server.
 func (v *View) PlanRow(server string) (plan.Engine, bool) {
 	if v.Plan == nil {
 		return plan.Engine{}, false
@@ -48,8 +48,8 @@
 	return row, ok
 }
 
-// Owner returns the backend server that owns a key slot; false when the plan
-// does not say. Slots returns how many the service has.
+// SlotOwner returns the backend server that owns a key slot, or false if the plan
+// names none.
 func (v *View) SlotOwner(service string, slot int) (string, bool) {
 	if v.Plan == nil {
 		return "", false
@@ -61,8 +61,8 @@
 	return owners[slot], true
 }
 
-// Slots returns how many key slots the plan gives a service; 0 when it does
-// not say.
+// SlotCount returns the number of key slots of a service, or 0 if the plan has no
+// slots for it.
 func (v *View) SlotCount(service string) int {
 	if v.Plan == nil {
 		return 0
