--- a/internal/sidecar/admission.go
+++ b/internal/sidecar/admission.go
@@ -20,94 +20,95 @@
 	admissionTick  = 250 * time.Millisecond
 )
 
-// The messages to the admission duty.
+// Messages to the admission duty.
 type (
-	// engineOpen and engineClosed tell whether the engine takes work; the count
-	// of running requests that follows carries the number.
-	engineOpen   struct{ number uint64 }
-	engineClosed struct {
-		number uint64
-		why    string
+	// engineAvailable and engineUnavailable report whether the engine accepts
+	// work. The epoch is returned in the workCount that follows.
+	engineAvailable   struct{ epoch uint64 }
+	engineUnavailable struct {
+		epoch  uint64
+		reason string
 	}
-	// engineHandOver asks for running work to go elsewhere.
+	// engineHandOver requests that running work is handed over to other servers.
 	engineHandOver struct{}
-	// drainedSet tells whether operators took the backend server out of
-	// service, and how long its work may go on.
-	drainedSet struct {
+	// drainStatus reports whether operators drained the backend server, and how
+	// long running work may continue.
+	drainStatus struct {
 		drained bool
 		timeout time.Duration
 	}
-	// leaving says that the process is shutting down; done is closed once the
-	// request table has been told.
-	leaving struct {
+	// shutdownStarted reports that the process is shutting down. done is closed
+	// once the event for the request table is queued.
+	shutdownStarted struct {
 		handOverAfter time.Duration
 		done          chan struct{}
 	}
-	admissionAsk struct{ reply chan admissionDump }
+	admissionQuery struct{ reply chan admissionDump }
 )
 
-// gate says whether requests are let in, and why not.
-type gate struct {
-	engineOpen bool
-	engineWhy  string
-	number     uint64
-	drained    bool
-	leaving    bool
-	// handOverAt is when the work of a drained or leaving backend server is
-	// handed over; zero: not asked for, or done.
+// admissionState holds all conditions on which admission depends.
+type admissionState struct {
+	engineAvailable bool
+	engineReason    string
+	epoch           uint64
+	drained         bool
+	shuttingDown    bool
+	// handOverAt is when running work is handed over during a drain or shutdown;
+	// zero if none is due.
 	handOverAt time.Time
 }
 
-// event returns what the request table is told.
-func (g *gate) event() requests.Event {
+// tableEvent returns the event that brings the request table to this state.
+func (s *admissionState) tableEvent() requests.Event {
 	switch {
-	case g.leaving:
+	case s.shuttingDown:
 		return requests.StopAdmitting{Code: verdict.CodeDraining, Reason: "the sidecar is shutting down"}
-	case g.drained:
+	case s.drained:
 		return requests.StopAdmitting{Code: verdict.CodeDraining, Reason: "operators drained the backend server"}
-	case !g.engineOpen:
-		return requests.StopAdmitting{Code: verdict.CodeNoBackend, Reason: g.engineWhy}
+	case !s.engineAvailable:
+		return requests.StopAdmitting{Code: verdict.CodeNoBackend, Reason: s.engineReason}
 	}
 	return requests.Admit{}
 }
 
-// draining says whether entries shall stop sending to this backend server.
-func (g *gate) draining() bool { return g.leaving || g.drained }
+// draining reports whether entries should stop sending to this backend server.
+func (s *admissionState) draining() bool { return s.shuttingDown || s.drained }
 
-// drain notes whether operators want the backend server out of service.
-func (g *gate) drain(now time.Time, m drainedSet) {
-	if g.drained == m.drained {
+// setDrained records whether operators drained the backend server.
+func (s *admissionState) setDrained(now time.Time, m drainStatus) {
+	if s.drained == m.drained {
 		return
 	}
-	g.drained = m.drained
-	g.handOverAt = time.Time{}
+	s.drained = m.drained
+	s.handOverAt = time.Time{}
 	if m.drained {
-		g.handOverAt = now.Add(m.timeout)
+		s.handOverAt = now.Add(m.timeout)
 	}
 }
 
-// handOverDue reports, once, that running work is to go elsewhere.
-func (g *gate) handOverDue(now time.Time) bool {
-	if g.handOverAt.IsZero() || now.Before(g.handOverAt) {
+// handOverDue reports whether running work must be handed over now. It returns
+// true once.
+func (s *admissionState) handOverDue(now time.Time) bool {
+	if s.handOverAt.IsZero() || now.Before(s.handOverAt) {
 		return false
 	}
-	g.handOverAt = time.Time{}
+	s.handOverAt = time.Time{}
 	return true
 }
 
-// admissionDuty decides whether requests are let in: the engine must be ready,
-// and neither operators nor a shutdown want the backend server empty.
+// admissionDuty decides whether requests are admitted: the engine must be ready,
+// and the backend server neither drained by operators nor shutting down.
 type admissionDuty struct {
 	inbox    *ring.Ring[any]
 	requests *requestsDuty
 	control  *controlDuty
 	explain  *explain.Log
 	server   string
-	// reason is why the backend server takes no requests; nil if it does.
-	reason atomic.Pointer[string]
+	// notReadyReason is why no requests are admitted; nil while admitting.
+	notReadyReason atomic.Pointer[string]
 
-	// gate belongs to Serve.
-	gate gate
+	// state is used by Serve only.
+	state admissionState
 }
 
 func newAdmission(i do.Injector) (*admissionDuty, error) {
@@ -118,39 +119,39 @@
 		control:  do.MustInvoke[*controlDuty](i),
 		explain:  do.MustInvoke[*explain.Log](i),
 		server:   s.Process.Name,
-		gate:     gate{engineOpen: !isEngine(s), engineWhy: "the state of the engine is not known yet"},
+		state:    admissionState{engineAvailable: !isEngine(s), engineReason: "the state of the engine is not known yet"},
 	}
 	starting := "starting"
-	d.reason.Store(&starting)
+	d.notReadyReason.Store(&starting)
 	return d, nil
 }
 
 // String names the duty.
 func (d *admissionDuty) String() string { return "admission" }
 
-// Ready returns why the backend server takes no requests, nil if it does.
+// Ready returns the reason why no requests are admitted, or nil.
 func (d *admissionDuty) Ready() error {
-	if why := d.reason.Load(); why != nil {
-		return eris.New(*why)
+	if reason := d.notReadyReason.Load(); reason != nil {
+		return eris.New(*reason)
 	}
 	return nil
 }
 
-// tell hands over a message that must not be lost.
-func (d *admissionDuty) tell(ctx context.Context, m any) { _ = d.inbox.PutWait(ctx, m) }
+// post queues a message and waits for space in the inbox.
+func (d *admissionDuty) post(ctx context.Context, m any) { _ = d.inbox.PutWait(ctx, m) }
 
-// shutDown refuses new work from its return on, and hands running work over
-// after the time given.
+// shutDown stops admission and schedules the handover of running work. New
+// requests are rejected once it returns.
 func (d *admissionDuty) shutDown(ctx context.Context, handOverAfter time.Duration) {
 	done := make(chan struct{})
-	d.tell(ctx, leaving{handOverAfter: handOverAfter, done: done})
+	d.post(ctx, shutdownStarted{handOverAfter: handOverAfter, done: done})
 	select {
 	case <-done:
 	case <-ctx.Done():
 	}
 }
 
-// Serve decides until ctx ends.
+// Serve runs the duty until ctx is done.
 func (d *admissionDuty) Serve(ctx context.Context) error {
 	d.apply(ctx)
 	ticker := time.NewTicker(admissionTick)
@@ -158,9 +159,9 @@
 	for {
 		select {
 		case m := <-d.inbox.C():
-			d.take(ctx, time.Now(), m)
+			d.handle(ctx, time.Now(), m)
 		case now := <-ticker.C:
-			if d.gate.handOverDue(now) {
+			if d.state.handOverDue(now) {
 				d.handOver(ctx)
 			}
 		case <-ctx.Done():
@@ -169,42 +170,42 @@
 	}
 }
 
-func (d *admissionDuty) take(ctx context.Context, now time.Time, m any) {
+func (d *admissionDuty) handle(ctx context.Context, now time.Time, m any) {
 	switch m := m.(type) {
-	case engineOpen:
-		d.gate.engineOpen, d.gate.number = true, m.number
-	case engineClosed:
-		d.gate.engineOpen, d.gate.engineWhy, d.gate.number = false, m.why, m.number
-	case drainedSet:
-		d.gate.drain(now, m)
-	case leaving:
+	case engineAvailable:
+		d.state.engineAvailable, d.state.epoch = true, m.epoch
+	case engineUnavailable:
+		d.state.engineAvailable, d.state.engineReason, d.state.epoch = false, m.reason, m.epoch
+	case drainStatus:
+		d.state.setDrained(now, m)
+	case shutdownStarted:
 		defer close(m.done)
-		d.gate.leaving = true
-		d.gate.handOverAt = now.Add(m.handOverAfter)
+		d.state.shuttingDown = true
+		d.state.handOverAt = now.Add(m.handOverAfter)
 	case engineHandOver:
 		d.handOver(ctx)
 		return
-	case admissionAsk:
+	case admissionQuery:
 		m.reply <- d.dump()
 		return
 	}
 	d.apply(ctx)
 }
 
-// apply tells the request table and the entries what the gate says. The table
-// comes first: an entry that still sends is then refused, not left waiting.
+// apply passes the state on to the request table and the entries. The table comes
+// first, so that requests that entries still send are rejected, not queued.
 func (d *admissionDuty) apply(ctx context.Context) {
-	event := d.gate.event()
-	d.requests.setAdmission(ctx, d.gate.number, event)
-	d.control.setDraining(ctx, d.gate.draining())
-	decision, why := "admits requests", ""
+	event := d.state.tableEvent()
+	d.requests.setAdmission(ctx, d.state.epoch, event)
+	d.control.setDraining(ctx, d.state.draining())
+	decision, reason := "admits requests", ""
 	if stop, ok := event.(requests.StopAdmitting); ok {
-		decision, why = "admits no requests", stop.Reason
-		d.reason.Store(&stop.Reason)
+		decision, reason = "admits no requests", stop.Reason
+		d.notReadyReason.Store(&stop.Reason)
 	} else {
-		d.reason.Store(nil)
+		d.notReadyReason.Store(nil)
 	}
-	d.explain.Add(time.Now(), d.server, decision, why)
+	d.explain.Add(time.Now(), d.server, decision, reason)
 }
 
 func (d *admissionDuty) handOver(ctx context.Context) {
@@ -214,17 +215,17 @@
 
 // admissionDump is the state of the duty for operators.
 type admissionDump struct {
-	Admitting  bool   `json:"admitting"`
-	Why        string `json:"why,omitempty"`
-	EngineOpen bool   `json:"engine_open"`
-	Drained    bool   `json:"drained"`
-	Leaving    bool   `json:"leaving"`
+	Admitting       bool   `json:"admitting"`
+	Reason          string `json:"why,omitempty"`
+	EngineAvailable bool   `json:"engine_open"`
+	Drained         bool   `json:"drained"`
+	ShuttingDown    bool   `json:"leaving"`
 }
 
 func (d *admissionDuty) dump() admissionDump {
-	dump := admissionDump{EngineOpen: d.gate.engineOpen, Drained: d.gate.drained, Leaving: d.gate.leaving}
-	if stop, ok := d.gate.event().(requests.StopAdmitting); ok {
-		dump.Why = stop.Reason
+	dump := admissionDump{EngineAvailable: d.state.engineAvailable, Drained: d.state.drained, ShuttingDown: d.state.shuttingDown}
+	if stop, ok := d.state.tableEvent().(requests.StopAdmitting); ok {
+		dump.Reason = stop.Reason
 	} else {
 		dump.Admitting = true
 	}
@@ -233,5 +234,5 @@
 
 // Dump returns the state of the duty.
 func (d *admissionDuty) Dump(ctx context.Context) any {
-	return ask(ctx, d.inbox, func(reply chan admissionDump) any { return admissionAsk{reply: reply} })
+	return query(ctx, d.inbox, func(reply chan admissionDump) any { return admissionQuery{reply: reply} })
 }
--- a/internal/sidecar/backend.go
+++ b/internal/sidecar/backend.go
@@ -20,34 +20,35 @@
 )
 
 const (
-	// maxAnswer bounds the answer of a plain service in bytes.
-	maxAnswer = 4 << 20
-	// answerPiece is the size in bytes of the pieces that it is passed on in.
-	answerPiece = 32 << 10
-	// cancelTimeout bounds the cancellation of a generation.
+	// maxAnswerBytes limits the response body of a plain service.
+	maxAnswerBytes = 4 << 20
+	// answerChunkBytes is the maximum size of the chunks that it is split into.
+	answerChunkBytes = 32 << 10
+	// cancelTimeout limits the engine call that cancels a generation.
 	cancelTimeout = 2 * time.Second
-	// refusedRetryAfter is when a backend server that refused may take more.
-	refusedRetryAfter = 500 * time.Millisecond
+	// rejectedRetryAfter is the retry hint after the backend server rejected a
+	// request or could not be reached.
+	rejectedRetryAfter = 500 * time.Millisecond
 )
 
-// Headers of a plain service's request.
+// Headers of a request to a plain service.
 const (
 	headerRequestID = "X-Request-Id"
-	// headerTimeout is how long the caller still waits, in milliseconds.
+	// headerTimeout is the time until the deadline in milliseconds.
 	headerTimeout = "X-Request-Timeout-Ms"
 )
 
-// emitFunc takes one piece of an answer.
+// emitFunc receives one chunk of an answer.
 type emitFunc func(data []byte, tokens uint32) error
 
-// backend runs work on the backend server. Its errors carry a verdict.
+// backend runs requests on the backend server. Its errors carry a verdict.
 type backend interface {
-	// run starts nothing once the deadline has passed. When ctx ends it stops
-	// the work and returns.
+	// run starts nothing once the deadline has passed. When ctx is done, it
+	// cancels the work and returns.
 	run(ctx context.Context, start *wire.Start, deadline time.Time, emit emitFunc) (*wire.Final, error)
 }
 
-// modelEngine is a backend with a model engine.
+// modelEngine runs requests on a model engine.
 type modelEngine struct{ engine engine.Engine }
 
 func (m modelEngine) run(ctx context.Context, start *wire.Start, deadline time.Time, emit emitFunc) (*wire.Final, error) {
@@ -55,11 +56,11 @@
 		return nil, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "the backend server is a model engine")
 	}
 	request := engineRequest(start, deadline)
-	generating, abort := context.WithCancel(context.WithoutCancel(ctx))
+	genCtx, abort := context.WithCancel(context.WithoutCancel(ctx))
 	defer abort()
 	stop := context.AfterFunc(ctx, func() { m.cancel(request.ID, abort) })
 	defer stop()
-	finish, err := m.engine.Generate(generating, request, func(p engine.Chunk) error {
+	finish, err := m.engine.Generate(genCtx, request, func(p engine.Chunk) error {
 		return emit([]byte(p.Text), uint32(p.Tokens))
 	})
 	if err != nil {
@@ -74,8 +75,8 @@
 	}, nil
 }
 
-// cancel stops a generation by its id first: an engine that does not watch its
-// connections would go on with it.
+// cancel cancels a generation by id before it closes the connection: an engine
+// that does not detect closed connections would continue generating.
 func (m modelEngine) cancel(id string, abort context.CancelFunc) {
 	defer abort()
 	ctx, done := context.WithTimeout(context.Background(), cancelTimeout)
@@ -101,11 +102,10 @@
 	}
 }
 
-// engineRequestID returns an id that differs between the attempts of a request:
-// an engine that is still ending one attempt must not take the next one for a
-// copy of it.
+// engineRequestID returns an id that is unique for each attempt of a request. An
+// engine still finishing one attempt must not treat the next as a duplicate.
 func engineRequestID(start *wire.Start) string {
-	id := requestName(start.GetRequestId())
+	id := requestIDString(start.GetRequestId())
 	if start.GetGenerate().GetPrefillOnly() {
 		id += ".prefill"
 	}
@@ -115,8 +115,9 @@
 	return id
 }
 
-// requestName returns the id as callers and logs spell it.
-func requestName(id []byte) string {
+// requestIDString returns the id in the format used by callers and logs, or ""
+// if it is invalid.
+func requestIDString(id []byte) string {
 	parsed, err := uuid.FromBytes(id)
 	if err != nil {
 		return ""
@@ -141,9 +142,9 @@
 func engineError(err error) error {
 	switch {
 	case errors.Is(err, engine.ErrNotSent):
-		return verdict.NewRejection(verdict.CodeBackendFailed, err.Error(), refusedRetryAfter)
+		return verdict.NewRejection(verdict.CodeBackendFailed, err.Error(), rejectedRetryAfter)
 	case errors.Is(err, engine.ErrRejected):
-		return verdict.NewRejection(verdict.CodeOverloaded, err.Error(), refusedRetryAfter)
+		return verdict.NewRejection(verdict.CodeOverloaded, err.Error(), rejectedRetryAfter)
 	case errors.Is(err, engine.ErrInvalidRequest):
 		return verdict.New(verdict.NotRun, verdict.CodeBadRequest, err.Error())
 	case errors.Is(err, engine.ErrRequestFailed):
@@ -153,34 +154,34 @@
 	}
 }
 
-// plainService is a backend with an HTTP service.
+// plainService runs calls on an HTTP service.
 type plainService struct {
-	base string
-	// once sends each request at most once, repeatable may send it again.
-	once       *http.Client
-	repeatable *http.Client
+	baseURL string
+	// noRetryClient sends each request at most once; retryClient may repeat it.
+	noRetryClient *http.Client
+	retryClient   *http.Client
 }
 
-// newPlainService returns the service at address, an IP number and a port.
+// newPlainService returns the service at address, an IP address and port.
 //
-// On a connection that it uses again, net/http repeats by itself a request with
-// an Idempotency-Key whose reply it lost, and the call would run twice. So a
-// call that may not be repeated gets a connection of its own. Redirects are
-// passed on to the caller for the same reason.
+// net/http retries a request with an Idempotency-Key when it fails on a reused
+// connection before the response, and the call would run twice. So a call that
+// may not be repeated uses a connection of its own. Redirects are returned to
+// the caller for the same reason.
 func newPlainService(address string) *plainService {
 	return &plainService{
-		base:       "http://" + address,
-		once:       newServiceClient(true),
-		repeatable: newServiceClient(false),
+		baseURL:       "http://" + address,
+		noRetryClient: newServiceClient(true),
+		retryClient:   newServiceClient(false),
 	}
 }
 
-func newServiceClient(once bool) *http.Client {
+func newServiceClient(noRetry bool) *http.Client {
 	dialer := net.Dialer{Timeout: time.Second}
 	return &http.Client{
 		Transport: &http.Transport{
 			DialContext:         dialer.DialContext,
-			DisableKeepAlives:   once,
+			DisableKeepAlives:   noRetry,
 			MaxIdleConnsPerHost: maxIdleConns,
 			DisableCompression:  true,
 		},
@@ -188,7 +189,7 @@
 	}
 }
 
-// maxIdleConns bounds the connections kept open to a service.
+// maxIdleConns limits the idle connections to a service.
 const maxIdleConns = 64
 
 func (p *plainService) run(ctx context.Context, start *wire.Start, deadline time.Time, emit emitFunc) (*wire.Final, error) {
@@ -196,9 +197,9 @@
 	if err != nil {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeBadRequest, err.Error())
 	}
-	client := p.once
+	client := p.noRetryClient
 	if start.GetIdempotent() {
-		client = p.repeatable
+		client = p.retryClient
 	}
 	resp, err := client.Do(req)
 	if err != nil {
@@ -214,11 +215,11 @@
 func (p *plainService) request(ctx context.Context, start *wire.Start, deadline time.Time) (*http.Request, error) {
 	call := start.GetCall()
 	if !strings.HasPrefix(call.GetPath(), "/") {
-		// The path would run into the address and change it.
+		// Appended to the base URL, the path would change the host.
 		return nil, eris.Errorf("path %q of the call is not absolute", call.GetPath())
 	}
 	body := engine.NewDeadlineBody(call.GetBody(), deadline)
-	req, err := http.NewRequestWithContext(ctx, call.GetMethod(), p.base+call.GetPath(), body)
+	req, err := http.NewRequestWithContext(ctx, call.GetMethod(), p.baseURL+call.GetPath(), body)
 	if err != nil {
 		return nil, eris.Wrap(err, "call")
 	}
@@ -230,22 +231,22 @@
 		req.Header.Add(h.GetName(), h.GetValue())
 	}
 	dropHopHeaders(req.Header)
-	req.Header.Set(headerRequestID, requestName(start.GetRequestId()))
+	req.Header.Set(headerRequestID, requestIDString(start.GetRequestId()))
 	req.Header.Set(headerTimeout, strconv.FormatInt(time.Until(deadline).Milliseconds(), 10))
 	return req, nil
 }
 
-// copyAnswer passes the answer on in pieces as it comes.
+// copyAnswer emits the response body in chunks as it arrives.
 func copyAnswer(body io.Reader, emit emitFunc) error {
-	piece := make([]byte, answerPiece)
+	buf := make([]byte, answerChunkBytes)
 	for size := 0; ; {
-		n, err := body.Read(piece)
+		n, err := body.Read(buf)
 		size += n
-		if size > maxAnswer {
+		if size > maxAnswerBytes {
 			return verdict.New(verdict.Ran, verdict.CodeAnswerBroken, "the answer of the service is too large")
 		}
 		if n > 0 {
-			if err := emit(bytes.Clone(piece[:n]), 0); err != nil {
+			if err := emit(bytes.Clone(buf[:n]), 0); err != nil {
 				return err
 			}
 		}
@@ -258,15 +259,15 @@
 	}
 }
 
-// callError returns what is known after a call without an answer. Only a failed
-// dial proves that the service did not get it.
+// callError returns the error of a call without a response. Only a failed dial
+// proves that the service did not receive the call.
 func callError(err error) error {
 	var op *net.OpError
 	switch {
 	case errors.Is(err, engine.ErrDeadlinePassed):
 		return verdict.New(verdict.MayHaveRun, verdict.CodeDeadlineExceeded, err.Error())
 	case errors.As(err, &op) && op.Op == "dial":
-		return verdict.NewRejection(verdict.CodeBackendFailed, err.Error(), refusedRetryAfter)
+		return verdict.NewRejection(verdict.CodeBackendFailed, err.Error(), rejectedRetryAfter)
 	}
 	return verdict.New(verdict.MayHaveRun, verdict.CodeOutcomeUnknown, err.Error())
 }
@@ -282,7 +283,7 @@
 	return headers
 }
 
-// dropHopHeaders removes what belongs to one connection only.
+// dropHopHeaders removes hop-by-hop headers and Content-Length.
 func dropHopHeaders(h http.Header) {
 	for _, name := range []string{
 		"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
--- a/internal/sidecar/claimer.go
+++ b/internal/sidecar/claims.go
@@ -9,17 +9,17 @@
 	"pistachioroad.dev/pistachioroad/internal/wire"
 )
 
-// claimKeeper is the part of the claims that the requests need.
-type claimKeeper interface {
+// claimStore is the subset of claims.Duty that requestsDuty uses.
+type claimStore interface {
 	Claim(ctx context.Context, r claims.Request) claims.Answer
 	Finished(r claims.Request, result claims.Result)
 	NotStarted(r claims.Request)
 	ResultLost(r claims.Request)
 }
 
-var _ claimKeeper = (*claims.Duty)(nil)
+var _ claimStore = (*claims.Duty)(nil)
 
-// claimRequest returns the Claim as the claims know it.
+// claimRequest converts a Claim effect for the claims duty.
 func claimRequest(e requests.Claim) claims.Request {
 	return claims.Request{
 		Service:    e.Service,
@@ -29,19 +29,19 @@
 	}
 }
 
-// claimAnswered returns the answer as the request table knows it.
-func claimAnswered(id requests.ClaimID, a claims.Answer) requests.ClaimDecided {
+// claimDecided converts a result of the claims duty for the request table.
+func claimDecided(id requests.ClaimID, a claims.Answer) requests.ClaimDecided {
 	answered := requests.ClaimDecided{Claim: id, Err: a.Err()}
 	switch a.Kind {
 	case claims.Granted:
 		answered.Granted = true
 	case claims.Replay:
-		replay(&answered, a.Result)
+		setReplay(&answered, a.Result)
 	}
 	return answered
 }
 
-func replay(answered *requests.ClaimDecided, result claims.Result) {
+func setReplay(answered *requests.ClaimDecided, result claims.Result) {
 	if result.BodyDropped {
 		answered.Err = verdict.New(verdict.Ran, verdict.CodeOutcomeUnknown, "the call ran, its answer was too large to keep")
 		return
@@ -55,15 +55,15 @@
 	}
 }
 
-// settle tells the claims how a granted call ended.
-func settle(keeper claimKeeper, r claims.Request, e requests.SettleClaim) {
+// settleClaim reports the outcome of a granted call to the claims duty.
+func settleClaim(store claimStore, r claims.Request, e requests.SettleClaim) {
 	switch e.Verdict {
 	case verdict.NotRun:
-		keeper.NotStarted(r)
+		store.NotStarted(r)
 	case verdict.Ran:
-		keeper.Finished(r, claimResult(e))
+		store.Finished(r, claimResult(e))
 	default:
-		keeper.ResultLost(r)
+		store.ResultLost(r)
 	}
 }
 
--- a/internal/sidecar/control.go
+++ b/internal/sidecar/control.go
@@ -22,14 +22,15 @@
 
 const (
 	controlInbox = 1024
-	// controlQueue is how many control frames may wait for one entry. An entry
-	// that takes fewer has stalled, and its connection is closed.
-	controlQueue = 256
-	// versionsEvery is how many heartbeats pass between two Versions.
-	versionsEvery = 5
+	// controlOutboxSize is the maximum number of control frames queued for one
+	// entry. If it is exceeded, the entry has stalled and its connection is
+	// closed.
+	controlOutboxSize = 256
+	// heartbeatsPerVersions is the number of heartbeats per Versions frame.
+	heartbeatsPerVersions = 5
 )
 
-// The messages to the control duty.
+// Messages to the control duty.
 type (
 	peerJoined struct{ peer *peer }
 	peerLeft   struct{ peer *peer }
@@ -37,14 +38,14 @@
 		peer  *peer
 		frame *wire.Frame
 	}
-	// broadcast goes to all entries; the newest load and slots also to those
+	// broadcast is sent to all entries. The latest slots are also sent to those
 	// that join later.
-	broadcast   struct{ frame *wire.Frame }
-	drainingSet struct{ draining bool }
-	controlAsk  struct{ reply chan controlDump }
+	broadcast    struct{ frame *wire.Frame }
+	drainingSet  struct{ draining bool }
+	controlQuery struct{ reply chan controlDump }
 )
 
-// peer is an entry on its control stream.
+// peer is a connected entry with its control stream.
 type peer struct {
 	process string
 	session *session
@@ -57,14 +58,14 @@
 	}
 }
 
-// controlDuty exchanges heartbeats, reports and objects with the entries.
+// controlDuty exchanges heartbeats, loads, cache events and objects with entries.
 type controlDuty struct {
 	inbox  *ring.Ring[any]
 	loads  *ring.Ring[*wire.Load]
 	member *member.Member
 	hello  *wire.Hello
 
-	// The rest belongs to Serve.
+	// The fields below are used by Serve only.
 	peers    map[*peer]time.Time
 	sequence uint64
 	draining bool
@@ -92,28 +93,28 @@
 // String names the duty.
 func (d *controlDuty) String() string { return "control" }
 
-// setLoad gives the newest load.
+// setLoad sets the latest load, replacing one that is not sent yet.
 func (d *controlDuty) setLoad(load *wire.Load) { d.loads.Put(load) }
 
-// announce sends a frame to all entries. A full inbox drops it: what it tells
-// is told again.
+// announce sends a frame to all entries, unless the inbox is full. Versions are
+// sent again periodically, and a missing cache event shows as a gap.
 func (d *controlDuty) announce(f *wire.Frame) { d.inbox.Put(broadcast{frame: f}) }
 
-// setDraining tells the entries whether this backend server is leaving.
+// setDraining announces whether this backend server is draining.
 func (d *controlDuty) setDraining(ctx context.Context, draining bool) {
 	_ = d.inbox.PutWait(ctx, drainingSet{draining: draining})
 }
 
-// serve serves the control stream of an entry until it ends.
+// serve handles the control stream of an entry until it is closed.
 func (d *controlDuty) serve(ctx context.Context, s *session, conn *wire.Conn, hello *wire.Hello) {
 	p := &peer{
 		process: hello.GetProcess(),
 		session: s,
-		outbox:  ring.New[*wire.Frame]("control.peer", controlQueue, ring.Reject),
+		outbox:  ring.New[*wire.Frame]("control.peer", controlOutboxSize, ring.Reject),
 	}
-	ended := make(chan struct{})
-	defer close(ended)
-	go p.write(conn, ended)
+	closed := make(chan struct{})
+	defer close(closed)
+	go p.write(conn, closed)
 	if d.inbox.PutWait(ctx, peerJoined{peer: p}) != nil {
 		return
 	}
@@ -129,9 +130,9 @@
 	_ = d.inbox.PutWait(ctx, peerLeft{peer: p})
 }
 
-// write sends the control frames of one entry. A connection that cannot take
-// them is of no use for work either.
-func (p *peer) write(conn *wire.Conn, ended <-chan struct{}) {
+// write sends the queued control frames to the entry. If sending fails, it closes
+// the whole connection, which cannot carry requests either.
+func (p *peer) write(conn *wire.Conn, closed <-chan struct{}) {
 	for {
 		select {
 		case f := <-p.outbox.C():
@@ -139,31 +140,31 @@
 				_ = p.session.Close()
 				return
 			}
-		case <-ended:
+		case <-closed:
 			return
 		}
 	}
 }
 
-// Serve runs the control streams until ctx ends.
+// Serve runs the duty until ctx is done.
 func (d *controlDuty) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(link.HeartbeatInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case m := <-d.inbox.C():
-			d.take(time.Now(), m)
+			d.handle(time.Now(), m)
 		case load := <-d.loads.C():
-			d.newLoad(load)
+			d.publishLoad(load)
 		case <-ticker.C:
-			d.beat()
+			d.sendHeartbeat()
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-func (d *controlDuty) take(now time.Time, m any) {
+func (d *controlDuty) handle(now time.Time, m any) {
 	switch m := m.(type) {
 	case peerJoined:
 		d.join(now, m.peer)
@@ -175,16 +176,16 @@
 		if m.frame.GetSlots() != nil {
 			d.slots = m.frame
 		}
-		d.toAll(m.frame)
+		d.sendToAll(m.frame)
 	case drainingSet:
 		d.draining = m.draining
-		d.beat()
-	case controlAsk:
+		d.sendHeartbeat()
+	case controlQuery:
 		m.reply <- d.dump()
 	}
 }
 
-// join greets an entry with all that it needs to route to this sidecar.
+// join sends an entry all that it needs to route to this sidecar.
 func (d *controlDuty) join(now time.Time, p *peer) {
 	d.peers[p] = now
 	hello := &wire.Hello{
@@ -216,25 +217,25 @@
 	}
 }
 
-// newLoad sends the load if it says something new.
-func (d *controlDuty) newLoad(load *wire.Load) {
+// publishLoad sends the load to all entries if it has changed.
+func (d *controlDuty) publishLoad(load *wire.Load) {
 	load.Sequence = d.load.GetSequence()
 	if proto.Equal(load, d.load) {
 		return
 	}
 	load.Sequence++
 	d.load = load
-	d.toAll(loadFrame(load))
+	d.sendToAll(loadFrame(load))
 }
 
-// beat sends a heartbeat, the load and, now and then, the versions in force: a peer that
-// missed a change asks for it.
-func (d *controlDuty) beat() {
+// sendHeartbeat sends a heartbeat, the load and, periodically, the active object
+// versions, from which a peer detects changes that it missed.
+func (d *controlDuty) sendHeartbeat() {
 	d.sequence++
-	d.toAll(d.heartbeat())
-	d.toAll(loadFrame(d.load))
-	if d.sequence%versionsEvery == 0 {
-		d.toAll(d.versions())
+	d.sendToAll(d.heartbeat())
+	d.sendToAll(loadFrame(d.load))
+	if d.sequence%heartbeatsPerVersions == 0 {
+		d.sendToAll(d.versions())
 	}
 }
 
@@ -250,7 +251,7 @@
 	return &wire.Frame{Body: &wire.Frame_Versions{Versions: d.member.Snapshot().Versions()}}
 }
 
-func (d *controlDuty) toAll(f *wire.Frame) {
+func (d *controlDuty) sendToAll(f *wire.Frame) {
 	for p := range d.peers {
 		p.send(f)
 	}
@@ -265,7 +266,7 @@
 
 type peerDump struct {
 	Process string `json:"process"`
-	// Since is when its control stream began.
+	// Since is when its control stream was opened.
 	Since  time.Time `json:"since"`
 	Queued int       `json:"queued"`
 }
@@ -281,5 +282,5 @@
 
 // Dump returns the state of the duty.
 func (d *controlDuty) Dump(ctx context.Context) any {
-	return ask(ctx, d.inbox, func(reply chan controlDump) any { return controlAsk{reply: reply} })
+	return query(ctx, d.inbox, func(reply chan controlDump) any { return controlQuery{reply: reply} })
 }
--- a/internal/sidecar/dump.go
+++ b/internal/sidecar/dump.go
@@ -6,9 +6,9 @@
 	"pistachioroad.dev/pistachioroad/internal/ring"
 )
 
-// ask puts a question into the inbox of a duty and returns its answer; nil if
-// the duty does not answer before ctx ends.
-func ask[T any](ctx context.Context, inbox *ring.Ring[any], question func(reply chan T) any) any {
+// query sends a request for a value to a duty and returns its reply, or nil if
+// the duty does not reply before ctx is done.
+func query[T any](ctx context.Context, inbox *ring.Ring[any], question func(reply chan T) any) any {
 	reply := make(chan T, 1)
 	if inbox.PutWait(ctx, question(reply)) != nil {
 		return nil
--- a/internal/sidecar/duties_test.go
+++ b/internal/sidecar/duties_test.go
@@ -25,10 +25,10 @@
 )
 
 var _ = Describe("plainService", func() {
-	// The service takes a hold and its connection breaks before the answer.
-	// net/http sends a request with an Idempotency-Key again by itself when
-	// that happens on a connection used before, and the hold is placed twice.
-	It("sends a call that may not be repeated once", func() {
+	// Guards against running a call twice: net/http retries a request with an
+	// Idempotency-Key by itself when a reused connection breaks before the
+	// response.
+	It("sends a call that may not be repeated only once", func() {
 		var runs atomic.Int64
 		backend := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 			if r.Method == http.MethodPost && runs.Add(1) > 1 {
@@ -43,18 +43,18 @@
 		Expect(runs.Load()).To(BeEquivalentTo(2))
 	})
 
-	// A caller's path is made to look like an address. Joined with the
-	// service's own, it would send the call to another server.
-	It("sends nothing to another server", func() {
+	// Guards against a path that changes the host of the URL and sends the call
+	// to another server.
+	It("rejects a path that would change the host", func() {
 		start := &wire.Start{Work: &wire.Start_Call{Call: &wire.Call{Method: "GET", Path: "@127.0.0.1:1/"}}}
 		_, err := newPlainService("127.0.0.1:2").run(context.Background(), start, time.Now().Add(time.Minute), nil)
 		Expect(verdict.Of(err).Code).To(Equal(verdict.CodeBadRequest))
 		Expect(verdict.Of(err).Verdict).To(Equal(verdict.NotRun))
 	})
 
-	// The service is restarted. Nothing got the call, and its caller may hear
-	// so and ask elsewhere at once.
-	It("knows that a call did not run when nobody took it", func() {
+	// A refused connection, as during a restart of the service, proves that the
+	// call did not run, so it can be retried elsewhere immediately.
+	It("reports not run when the service refuses the connection", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(listener.Close()).To(Succeed())
@@ -62,9 +62,9 @@
 		Expect(verdict.Of(err).Verdict).To(Equal(verdict.NotRun))
 	})
 
-	// The service dies in the middle of its answer. What came so far looks like
-	// a shorter answer.
-	It("gives no cut answer for a whole one", func() {
+	// Guards against passing on a truncated answer as complete when the service
+	// crashes in the middle of it.
+	It("fails on a truncated answer", func() {
 		backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "10")
 			_, _ = w.Write([]byte("half"))
@@ -86,7 +86,7 @@
 	return err
 }
 
-// fakeBackend runs until it is released, or panics.
+// fakeBackend runs until release is closed, or panics with fault if it is set.
 type fakeBackend struct {
 	release chan struct{}
 	fault   string
@@ -101,28 +101,29 @@
 }
 
 var _ = Describe("runner", func() {
-	// A fault in the code that talks to the backend server. Its goroutine is
-	// under no supervisor, so the whole process would end and cut all others.
-	It("turns a panic into a verdict", func() {
+	// Guards against a panic in the backend code that ends the process and with
+	// it all other runs: the run's goroutine has no supervisor.
+	It("reports a panic as a verdict", func() {
 		var got requests.Event
 		r := &runner{backend: &fakeBackend{fault: "nil map"}, post: func(e requests.Event) { got = e }}
-		r.do(context.Background(), requests.Run{Run: 7, Deadline: time.Now().Add(time.Minute)})
+		r.execute(context.Background(), requests.Run{Run: 7, Deadline: time.Now().Add(time.Minute)})
 		Expect(got.(requests.RunFinished).Err.Verdict).To(Equal(verdict.MayHaveRun))
 	})
 
-	// The process is paused between the decision to start and the start.
-	It("looks at the clock once more", func() {
+	// Guards against starting a run after its deadline when the process is paused
+	// between the table's decision and the call.
+	It("checks the deadline again before the call", func() {
 		var got requests.Event
 		r := &runner{backend: &fakeBackend{fault: "must not run"}, post: func(e requests.Event) { got = e }}
-		r.do(context.Background(), requests.Run{Run: 7, Deadline: time.Now()})
+		r.execute(context.Background(), requests.Run{Run: 7, Deadline: time.Now()})
 		Expect(got.(requests.RunFinished).Err.Verdict).To(Equal(verdict.NotRun))
 	})
 })
 
 var _ = Describe("requestsDuty", func() {
-	// The duty panics with requests running and waiting. Without an answer
-	// their callers wait for the whole deadline.
-	It("answers all its requests after a panic and goes on", func() {
+	// Guards against callers that wait until their deadlines because the duty
+	// panicked while their requests were running or queued.
+	It("answers all its requests after a panic and continues", func() {
 		backend := &fakeBackend{release: make(chan struct{})}
 		d := newTestRequests(backend)
 		supervisor := suture.New("test", suture.Spec{EventHook: func(suture.Event) {}})
@@ -134,7 +135,7 @@
 
 		running, waiting := openStream(d, 1), openStream(d, 2)
 		Eventually(func() any { return d.Dump(ctx).(requests.Dump).Running }).Should(Equal(1))
-		d.inbox.Put(opened{})
+		d.inbox.Put(streamOpened{})
 		Expect(refusalOn(running).GetVerdict()).To(Equal(wire.Verdict_VERDICT_MAY_HAVE_RUN))
 		Expect(refusalOn(waiting).GetVerdict()).To(Equal(wire.Verdict_VERDICT_NOT_RUN))
 
@@ -147,20 +148,20 @@
 
 func newTestRequests(b backend) *requestsDuty {
 	d := &requestsDuty{
-		inbox:   ring.New[any]("test", 16, ring.Reject),
-		counts:  ring.New[workCount]("test", 1, ring.DropOldest),
-		explain: explain.New(16),
-		control: &controlDuty{loads: ring.New[*wire.Load]("test", 1, ring.DropOldest)},
-		table:   requests.New(requests.Config{Slots: 1, QueueLength: 4}, newRandom()),
-		streams: map[requests.Stream]*stream{},
-		cancels: map[requests.RunID]context.CancelFunc{},
-		claimed: map[requests.ClaimID]claims.Request{},
+		inbox:         ring.New[any]("test", 16, ring.Reject),
+		counts:        ring.New[workCount]("test", 1, ring.DropOldest),
+		explain:       explain.New(16),
+		control:       &controlDuty{loads: ring.New[*wire.Load]("test", 1, ring.DropOldest)},
+		table:         requests.New(requests.Config{Slots: 1, QueueLength: 4}, newRandom()),
+		streams:       map[requests.Stream]*stream{},
+		cancels:       map[requests.RunID]context.CancelFunc{},
+		claimRequests: map[requests.ClaimID]claims.Request{},
 	}
-	d.runner = &runner{backend: b, post: d.mustPost}
+	d.runner = &runner{backend: b, post: d.postAlways}
 	return d
 }
 
-// openStream sends a call on a stream whose frames stay in its outbox.
+// openStream sends a call on a stream whose frames remain in its outbox.
 func openStream(d *requestsDuty, number byte) *stream {
 	id := [16]byte{number}
 	s := newStream(requests.Stream(number), nil)
@@ -181,36 +182,36 @@
 }
 
 var _ = Describe("ordersDuty", func() {
-	// The plan changes an engine in the moment a draft is let in. A count of
-	// running requests from before the admission was closed says none, and the
-	// order would cut the draft.
-	It("does not believe a count from before the admission closed, or while it is open", func() {
+	// Guards against an order that interrupts a running request: the plan changes
+	// the engine just as a request is admitted, and a count from before admission
+	// closed does not include it.
+	It("ignores a count from before admission closed, and a zero count while it is open", func() {
 		ctx := context.Background()
 		d := newTestOrders(time.Now().Add(-time.Minute))
-		d.number = 2
+		d.admissionEpoch = 2
 		startDrain(d, time.Now().Add(-time.Second))
 
-		d.countWork(ctx, workCount{number: 1})
+		d.handleWorkCount(ctx, workCount{epoch: 1})
 		Expect(d.executor.Phase()).To(Equal(orders.Draining))
-		d.countWork(ctx, workCount{number: 2, admitting: true})
+		d.handleWorkCount(ctx, workCount{epoch: 2, admitting: true})
 		Expect(d.executor.Phase()).To(Equal(orders.Draining))
-		d.countWork(ctx, workCount{number: 2})
+		d.handleWorkCount(ctx, workCount{epoch: 2})
 		Expect(d.executor.Phase()).To(Equal(orders.Ordering))
 	})
 
-	// An operator gives long drafts an hour to finish. With the built-in time
-	// in force, a change of the engine would cut them after half a minute.
-	It("keeps to the drain timeout that operators set", func() {
+	// Guards against using the built-in drain timeout of half a minute when
+	// operators gave long generations an hour.
+	It("uses the drain timeout that operators set", func() {
 		d := newTestOrders(time.Now())
-		d.take(context.Background(), orders.DrainTimeoutSet{Timeout: time.Hour})
-		begun := time.Now().Add(time.Minute)
-		startDrain(d, begun)
-		Expect(d.executor.Step(begun.Add(59*time.Minute), orders.Tick{})).NotTo(ContainElement(orders.HandOver{}))
-		Expect(d.executor.Step(begun.Add(time.Hour), orders.Tick{})).To(ContainElement(orders.HandOver{}))
+		d.handle(context.Background(), orders.DrainTimeoutSet{Timeout: time.Hour})
+		drainStart := time.Now().Add(time.Minute)
+		startDrain(d, drainStart)
+		Expect(d.executor.Step(drainStart.Add(59*time.Minute), orders.Tick{})).NotTo(ContainElement(orders.HandOver{}))
+		Expect(d.executor.Step(drainStart.Add(time.Hour), orders.Tick{})).To(ContainElement(orders.HandOver{}))
 	})
 })
 
-// newTestOrders returns the duty of an engine that cannot be reached.
+// newTestOrders returns the orders duty of an unreachable engine.
 func newTestOrders(started time.Time) *ordersDuty {
 	return &ordersDuty{
 		inbox:     ring.New[any]("test", 16, ring.Reject),
@@ -221,7 +222,7 @@
 	}
 }
 
-// startDrain brings the executor to wait for one running request.
+// startDrain brings the executor into its draining phase with one running request.
 func startDrain(d *ordersDuty, now time.Time) {
 	GinkgoHelper()
 	ready := engine.State{Ready: true, Applied: engine.Order{Model: "a"}}
@@ -231,41 +232,42 @@
 	Expect(d.executor.Phase()).To(Equal(orders.Draining))
 }
 
-var _ = Describe("gate", func() {
-	// The sidecar shuts down while its engine changes, or an operator takes the
-	// drain back meanwhile. Each reason must hold until it is gone itself.
-	It("admits only when nothing speaks against it", func() {
+var _ = Describe("admissionState", func() {
+	// Guards against admitting too early when several reasons against it overlap,
+	// such as a drain and an engine change: ending one must not clear another.
+	It("admits only when no reason against it remains", func() {
 		now := time.Unix(1_000_000, 0)
-		g := gate{engineOpen: true}
-		Expect(g.event()).To(Equal(requests.Admit{}))
-		g.drain(now, drainedSet{drained: true, timeout: time.Minute})
-		g.engineOpen = false
-		g.drain(now, drainedSet{})
-		Expect(g.event()).To(BeAssignableToTypeOf(requests.StopAdmitting{}))
-		Expect(g.draining()).To(BeFalse())
-		g.engineOpen = true
-		Expect(g.event()).To(Equal(requests.Admit{}))
+		state := admissionState{engineAvailable: true}
+		Expect(state.tableEvent()).To(Equal(requests.Admit{}))
+		state.setDrained(now, drainStatus{drained: true, timeout: time.Minute})
+		state.engineAvailable = false
+		state.setDrained(now, drainStatus{})
+		Expect(state.tableEvent()).To(BeAssignableToTypeOf(requests.StopAdmitting{}))
+		Expect(state.draining()).To(BeFalse())
+		state.engineAvailable = true
+		Expect(state.tableEvent()).To(Equal(requests.Admit{}))
 	})
 
-	It("hands over once, when the time to finish is over", func() {
+	It("hands over once, when the drain timeout is over", func() {
 		now := time.Unix(1_000_000, 0)
-		g := gate{engineOpen: true}
-		g.drain(now, drainedSet{drained: true, timeout: time.Minute})
-		g.drain(now.Add(time.Second), drainedSet{drained: true, timeout: time.Hour})
-		Expect(g.handOverDue(now.Add(59 * time.Second))).To(BeFalse())
-		Expect(g.handOverDue(now.Add(time.Minute))).To(BeTrue())
-		Expect(g.handOverDue(now.Add(2 * time.Minute))).To(BeFalse())
+		state := admissionState{engineAvailable: true}
+		state.setDrained(now, drainStatus{drained: true, timeout: time.Minute})
+		state.setDrained(now.Add(time.Second), drainStatus{drained: true, timeout: time.Hour})
+		Expect(state.handOverDue(now.Add(59 * time.Second))).To(BeFalse())
+		Expect(state.handOverDue(now.Add(time.Minute))).To(BeTrue())
+		Expect(state.handOverDue(now.Add(2 * time.Minute))).To(BeFalse())
 	})
 })
 
 var _ = Describe("cacheEvents", func() {
-	// An engine restarts with an empty cache and numbers its events from 1.
-	It("leaves a gap after a restart, so that entries forget", func() {
+	// Guards against entries that keep routing for a lost cache: a restarted engine
+	// has an empty cache and numbers its events from 1.
+	It("leaves a sequence gap after a restart of the engine", func() {
 		c := cacheEvents{}
-		c.restarted("a")
-		Expect(c.take([]engine.CacheEvent{{Sequence: 1}, {Sequence: 2}})).To(HaveLen(2))
-		c.restarted("b")
-		frames := c.take([]engine.CacheEvent{{Sequence: 1, Stored: []uint64{9}}})
+		c.setIncarnation("a")
+		Expect(c.newFrames([]engine.CacheEvent{{Sequence: 1}, {Sequence: 2}})).To(HaveLen(2))
+		c.setIncarnation("b")
+		frames := c.newFrames([]engine.CacheEvent{{Sequence: 1, Stored: []uint64{9}}})
 		Expect(frames).To(HaveLen(1))
 		Expect(frames[0].GetFirstSequence()).To(BeEquivalentTo(4))
 	})
--- a/internal/sidecar/fixture_test.go
+++ b/internal/sidecar/fixture_test.go
@@ -26,7 +26,8 @@
 	"pistachioroad.dev/pistachioroad/test/standin/plainservice"
 )
 
-// fixture is a sidecar that runs beside a stand-in until the spec ends.
+// fixture is a sidecar that runs with a stand-in backend server until the spec
+// ends.
 type fixture struct {
 	settings settings.Settings
 	backend  *httptest.Server
@@ -34,8 +35,8 @@
 	stopped  chan error
 }
 
-// sidecars are those that still run: one that shuts down takes its time, and
-// the next spec need not wait for it.
+// sidecars counts the running sidecars. Shutting down takes a while, and the next
+// spec need not wait for it.
 var sidecars sync.WaitGroup
 
 var _ = AfterSuite(func() { sidecars.Wait() })
@@ -106,14 +107,14 @@
 	return listener.Addr().String()
 }
 
-// entryLink is a link as an entry holds it.
+// entryLink is the entry's side of a link.
 type entryLink struct {
 	*link.Session
 	conn  *wire.Conn
 	hello *wire.Hello
 }
 
-// link opens a link and exchanges Hello.
+// link opens a link and exchanges Hello frames.
 func (f *fixture) link() *entryLink {
 	GinkgoHelper()
 	l := &entryLink{}
@@ -128,7 +129,7 @@
 	return l
 }
 
-// admitted waits until the sidecar lets work in and returns a link.
+// admitted waits until the sidecar admits requests and returns a link.
 func (f *fixture) admitted() *entryLink {
 	GinkgoHelper()
 	l := f.link()
@@ -146,7 +147,7 @@
 	l.await(func(frame *wire.Frame) bool { return len(frame.GetSlots().GetSlots()) > 0 })
 }
 
-// await reads control frames until one is as wanted.
+// await reads control frames until one satisfies wanted.
 func (l *entryLink) await(wanted func(*wire.Frame) bool) {
 	GinkgoHelper()
 	for !wanted(receive(l.conn)) {
@@ -177,7 +178,7 @@
 	return receive(conn).GetResolution()
 }
 
-func draft(prompt string, tokens uint32) *wire.Start {
+func generation(prompt string, tokens uint32) *wire.Start {
 	return &wire.Start{
 		RequestId: newID(),
 		Attempt:   1,
@@ -188,7 +189,7 @@
 	}
 }
 
-func hold(subject string) *wire.Start {
+func bookingCall(subject string) *wire.Start {
 	return &wire.Start{
 		RequestId: newID(),
 		Attempt:   1,
@@ -219,7 +220,7 @@
 	return chunk
 }
 
-// receiveRefusal reads past what an attempt has answered to its refusal.
+// receiveRefusal reads past the chunks of an attempt to its refusal.
 func receiveRefusal(conn *wire.Conn) *wire.Refusal {
 	GinkgoHelper()
 	for {
@@ -231,9 +232,9 @@
 	}
 }
 
-// receiveAnswer reads an answer, after the chunks that were read before, to its
-// end and fails unless it is whole.
-func receiveAnswer(conn *wire.Conn, before ...*wire.Chunk) (string, *wire.Final) {
+// receiveAnswer reads the rest of an answer, after the chunks already read, and
+// fails unless it is complete.
+func receiveAnswer(conn *wire.Conn, alreadyRead ...*wire.Chunk) (string, *wire.Final) {
 	GinkgoHelper()
 	text := strings.Builder{}
 	digest := wire.NewDigest()
@@ -241,7 +242,7 @@
 		digest.Add(chunk)
 		text.Write(chunk.GetData())
 	}
-	for _, chunk := range before {
+	for _, chunk := range alreadyRead {
 		add(chunk)
 	}
 	for {
@@ -257,15 +258,15 @@
 	}
 }
 
-// keepDrafting sends drafts until the function returned is called, which
-// returns those that neither were answered nor certainly did not run.
-func (f *fixture) keepDrafting() func() []string {
+// keepGenerating sends generations until the returned function is called. That
+// function returns the refusals with a verdict other than NotRun.
+func (f *fixture) keepGenerating() func() []string {
 	GinkgoHelper()
 	l := f.link()
 	stop := make(chan struct{})
 	broken := []string{}
-	drafting := sync.WaitGroup{}
-	drafting.Go(func() {
+	running := sync.WaitGroup{}
+	running.Go(func() {
 		defer GinkgoRecover()
 		for {
 			select {
@@ -273,7 +274,7 @@
 				return
 			default:
 			}
-			if refusal := endOf(l.send(draft("portfolio", 20))).GetRefusal(); refusal != nil &&
+			if refusal := lastFrame(l.send(generation("portfolio", 20))).GetRefusal(); refusal != nil &&
 				refusal.GetVerdict() != wire.Verdict_VERDICT_NOT_RUN {
 				broken = append(broken, refusal.GetMessage())
 			}
@@ -281,12 +282,12 @@
 	})
 	return func() []string {
 		close(stop)
-		drafting.Wait()
+		running.Wait()
 		return broken
 	}
 }
 
-func endOf(conn *wire.Conn) *wire.Frame {
+func lastFrame(conn *wire.Conn) *wire.Frame {
 	GinkgoHelper()
 	defer conn.Close()
 	for {
@@ -304,7 +305,7 @@
 	return record
 }
 
-// runs returns a function that tells how often a hold ran.
+// runs returns a function that returns how often the call for subject ran.
 func (f *fixture) runs(subject string) func() int {
 	return func() int {
 		GinkgoHelper()
@@ -319,7 +320,7 @@
 	f.getURL(f.backend.URL+path, into)
 }
 
-func (f *fixture) askOperators(path string, into any) {
+func (f *fixture) getOperator(path string, into any) {
 	GinkgoHelper()
 	f.getURL("http://"+f.settings.Listen.Operators+path, into)
 }
@@ -335,7 +336,7 @@
 	Expect(json.NewDecoder(resp.Body).Decode(into)).To(Succeed())
 }
 
-func (f *fixture) slowService(delay time.Duration) {
+func (f *fixture) delayService(delay time.Duration) {
 	GinkgoHelper()
 	faults, err := json.Marshal(plainservice.Faults{DelayMS: int(delay / time.Millisecond)})
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -14,12 +14,12 @@
 	"pistachioroad.dev/pistachioroad/internal/wire"
 )
 
-// fleetTick is how often the configuration is looked at though it has not
-// changed: exceptions expire.
+// fleetTick is how often the configuration is evaluated without a change, because
+// its exceptions expire.
 const fleetTick = time.Second
 
-// fleetDuty hands what changes in the fleet's configuration and plan to the
-// duties that act on it.
+// fleetDuty passes changes of the fleet's configuration and plan on to the duties
+// that apply them.
 type fleetDuty struct {
 	settings  settings.Settings
 	member    *member.Member
@@ -27,10 +27,10 @@
 	claims    *claims.Duty
 	control   *controlDuty
 	orders    *ordersDuty
-	// drained, retention and versions were last handed on; they belong to Serve.
-	drained   drainedSet
-	retention time.Duration
-	versions  map[string]uint64
+	// Values last passed on, used by Serve only.
+	lastDrain     drainStatus
+	lastRetention time.Duration
+	lastVersions  map[string]uint64
 }
 
 func newFleet(i do.Injector) (*fleetDuty, error) {
@@ -51,15 +51,15 @@
 // String names the duty.
 func (d *fleetDuty) String() string { return "fleet" }
 
-// Serve hands changes on until ctx ends.
+// Serve passes changes on until ctx is done.
 func (d *fleetDuty) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(fleetTick)
 	defer ticker.Stop()
 	for {
 		changed := d.member.Changed()
 		snapshot := d.member.Snapshot()
-		d.handPlan(ctx, snapshot)
-		d.handConfig(ctx, snapshot)
+		d.applyPlan(ctx, snapshot)
+		d.applyConfig(ctx, snapshot)
 		d.announceVersions(snapshot)
 		select {
 		case <-changed:
@@ -72,19 +72,19 @@
 	}
 }
 
-// announceVersions tells the entries what is in force here, once it is. Told
-// before, or told of the snapshot before, an operator would see a change in
-// force where it is not, or wait for seconds to see one that is.
+// announceVersions announces the versions of a snapshot after it was applied.
+// Announced earlier, operators would see a change as active before it is;
+// announced with the previous snapshot, they would see it seconds late.
 func (d *fleetDuty) announceVersions(s *member.Snapshot) {
 	versions := s.Versions().GetVersions()
-	if maps.Equal(versions, d.versions) {
+	if maps.Equal(versions, d.lastVersions) {
 		return
 	}
-	d.versions = versions
+	d.lastVersions = versions
 	d.control.announce(versionsFrame(s))
 }
 
-func (d *fleetDuty) handPlan(ctx context.Context, s *member.Snapshot) {
+func (d *fleetDuty) applyPlan(ctx context.Context, s *member.Snapshot) {
 	if s.PlanVersion == 0 {
 		return
 	}
@@ -96,8 +96,8 @@
 	}
 }
 
-// handConfig hands on what operators want of this backend server.
-func (d *fleetDuty) handConfig(ctx context.Context, s *member.Snapshot) {
+// applyConfig passes on the settings that operators made for this backend server.
+func (d *fleetDuty) applyConfig(ctx context.Context, s *member.Snapshot) {
 	row := s.Plan.Engines[d.settings.Process.Name]
 	values := s.Config.For(fleetconfig.Scope{
 		Service:       d.service(),
@@ -105,17 +105,17 @@
 		DataCentre:    d.settings.Process.DataCentre,
 		BackendServer: d.settings.Process.Name,
 	}, time.Now())
-	drained := drainedSet{
+	drained := drainStatus{
 		drained: *values.Drained,
 		timeout: time.Duration(*values.DrainTimeout),
 	}
-	if drained != d.drained {
-		d.drained = drained
-		d.admission.tell(ctx, drained)
+	if drained != d.lastDrain {
+		d.lastDrain = drained
+		d.admission.post(ctx, drained)
 		d.setDrainTimeout(ctx, drained.timeout)
 	}
-	if retention := time.Duration(*values.ClaimRetention); retention != d.retention {
-		d.retention = retention
+	if retention := time.Duration(*values.ClaimRetention); retention != d.lastRetention {
+		d.lastRetention = retention
 		d.claims.SetRetention(retention)
 	}
 }
--- a/internal/sidecar/links.go
+++ b/internal/sidecar/links.go
@@ -20,27 +20,27 @@
 )
 
 const (
-	// maxSessions bounds the connections: each entry of the fleet has one, and
-	// a second beside a silent one.
+	// maxSessions limits the connections. Each entry of the fleet has one, and
+	// opens a second one when the first is unresponsive.
 	maxSessions = 1024
-	// maxStreams bounds the streams of all connections that wait for their last
-	// frame.
+	// maxStreams limits the streams of all connections whose last frame is not
+	// sent yet.
 	maxStreams = 4096
-	// silentTicks is after how many ticks without a frame a connection is
-	// closed. Ticks that a paused process missed do not count: its entries
-	// were not silent.
-	silentTicks  = 10
-	sessionTick  = time.Second
-	acceptPause  = 50 * time.Millisecond
-	sentPollTime = 10 * time.Millisecond
+	// maxSilentTicks is the number of ticks without a frame after which a
+	// connection is closed. Counting ticks leaves out the time that this process
+	// was paused and could not receive frames.
+	maxSilentTicks   = 10
+	sessionTick      = time.Second
+	acceptBackoff    = 50 * time.Millisecond
+	sentPollInterval = 10 * time.Millisecond
 )
 
 var (
-	silentSessions  = metrics.GetOrRegisterCounter("links.silent", nil)
-	refusedSessions = metrics.GetOrRegisterCounter("links.refused", nil)
+	silentSessions   = metrics.GetOrRegisterCounter("links.silent", nil)
+	rejectedSessions = metrics.GetOrRegisterCounter("links.refused", nil)
 )
 
-// linksDuty takes the connections of entries and their streams.
+// linksDuty accepts the connections of entries and serves their streams.
 type linksDuty struct {
 	listener net.Listener
 	requests *requestsDuty
@@ -48,10 +48,10 @@
 
 	sessions atomic.Int64
 	streams  atomic.Int64
-	// waiting counts the attempts and questions whose last frame is not sent.
-	waiting atomic.Int64
-	// numbers counts the attempts and questions that came.
-	numbers atomic.Uint64
+	// unfinished counts the attempts and Resolves whose last frame is not sent.
+	unfinished atomic.Int64
+	// received counts the attempts and Resolves, and numbers their streams.
+	received atomic.Uint64
 }
 
 func newLinks(i do.Injector) (*linksDuty, error) {
@@ -65,7 +65,7 @@
 // String names the duty.
 func (d *linksDuty) String() string { return "links" }
 
-// Serve takes connections until ctx ends.
+// Serve accepts connections until ctx is done.
 func (d *linksDuty) Serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = d.listener.Close() })
 	defer stop()
@@ -77,19 +77,19 @@
 		case errors.Is(err, net.ErrClosed):
 			return eris.Wrap(err, "accept")
 		case err != nil:
-			// Too many open files, for one; pass after pass would burn the
-			// core that the backend server needs.
-			log.WithError(err).Warn("accept link")
-			time.Sleep(acceptPause)
+			// For example, too many open files. Without a backoff the loop
+			// would use a core that the backend server needs.
+			log.WithError(err).Warn("cannot accept link connection")
+			time.Sleep(acceptBackoff)
 		default:
-			d.take(ctx, conn)
+			d.accept(ctx, conn)
 		}
 	}
 }
 
-func (d *linksDuty) take(ctx context.Context, conn net.Conn) {
+func (d *linksDuty) accept(ctx context.Context, conn net.Conn) {
 	if d.sessions.Load() >= maxSessions {
-		refusedSessions.Inc(1)
+		rejectedSessions.Inc(1)
 		_ = conn.Close()
 		return
 	}
@@ -108,7 +108,7 @@
 // session is one connection.
 type session struct {
 	*link.Session
-	heard atomic.Bool
+	receivedFrame atomic.Bool
 }
 
 func (d *linksDuty) serveSession(ctx context.Context, l *link.Session) {
@@ -116,7 +116,7 @@
 	defer s.Close()
 	stop := context.AfterFunc(ctx, func() { _ = s.Close() })
 	defer stop()
-	go s.watch()
+	go s.closeWhenSilent()
 	var streams sync.WaitGroup
 	defer streams.Wait()
 	for {
@@ -124,7 +124,7 @@
 		if err != nil {
 			return
 		}
-		if d.waiting.Load() >= maxStreams {
+		if d.unfinished.Load() >= maxStreams {
 			_ = conn.Close()
 			continue
 		}
@@ -136,12 +136,12 @@
 	}
 }
 
-// watch closes the connection when its entry is silent for good.
+// closeWhenSilent closes the connection after maxSilentTicks without a frame.
 //
-// An entry that vanished without closing leaves a connection that neither
-// fails nor ends, and requests on it that nobody waits for. One would notice a
-// backend server that is busy for callers long gone.
-func (s *session) watch() {
+// An entry that vanishes without closing leaves a connection that never fails,
+// with requests that nobody waits for. Without this check the backend server
+// would stay busy with them.
+func (s *session) closeWhenSilent() {
 	ticker := time.NewTicker(sessionTick)
 	defer ticker.Stop()
 	silent := 0
@@ -152,10 +152,10 @@
 		case <-ticker.C:
 		}
 		silent++
-		if s.heard.Swap(false) {
+		if s.receivedFrame.Swap(false) {
 			silent = 0
 		}
-		if silent >= silentTicks {
+		if silent >= maxSilentTicks {
 			silentSessions.Inc(1)
 			_ = s.Close()
 			return
@@ -163,11 +163,11 @@
 	}
 }
 
-// receive reads a frame and notes that the entry is there.
+// receive reads a frame and records that the entry is responsive.
 func (s *session) receive(conn *wire.Conn) (*wire.Frame, error) {
 	frame, err := conn.Receive()
 	if err == nil {
-		s.heard.Store(true)
+		s.receivedFrame.Store(true)
 	}
 	return frame, err
 }
@@ -182,25 +182,25 @@
 		d.control.serve(ctx, s, conn, hello)
 		return
 	}
-	number := requests.Stream(d.numbers.Add(1))
-	event, ok := requests.FirstFrame(number, first, clock())
+	number := requests.Stream(d.received.Add(1))
+	event, ok := requests.FirstFrameEvent(number, first, clock())
 	if !ok {
 		return
 	}
 	d.serveRequest(ctx, s, newStream(number, conn), event)
 }
 
-// serveRequest serves one attempt or Resolve until its stream has ended at both
-// ends.
+// serveRequest serves one attempt or Resolve until both directions of its stream
+// are closed.
 func (d *linksDuty) serveRequest(ctx context.Context, s *session, st *stream, event requests.Event) {
 	if !d.requests.open(st, event) {
-		// Nobody has seen the frame and nobody will: closing the stream lets
-		// the entry ask for the outcome, which is recorded then.
+		// The inbox is full and the frame is dropped unprocessed. Closing the
+		// stream makes the entry send a Resolve, which records "not run".
 		return
 	}
-	d.waiting.Add(1)
+	d.unfinished.Add(1)
 	go func() {
-		defer d.waiting.Add(-1)
+		defer d.unfinished.Add(-1)
 		st.write(s.Done())
 	}()
 	for {
@@ -208,7 +208,7 @@
 		if err != nil {
 			break
 		}
-		if later, ok := requests.LaterFrame(st.number, frame); ok {
+		if later, ok := requests.LaterFrameEvent(st.number, frame); ok {
 			d.requests.post(ctx, later)
 		}
 	}
@@ -216,14 +216,15 @@
 	<-st.done
 }
 
-// awaitQuiet waits until no attempt or question has come for the time given.
-func (d *linksDuty) awaitQuiet(ctx context.Context, quiet time.Duration) {
+// awaitNoArrivals waits until no attempt or Resolve has arrived for the given
+// time.
+func (d *linksDuty) awaitNoArrivals(ctx context.Context, quiet time.Duration) {
 	for {
-		before := d.numbers.Load()
+		previous := d.received.Load()
 		if !pause.For(ctx, quiet) {
 			return
 		}
-		if d.numbers.Load() == before {
+		if d.received.Load() == previous {
 			return
 		}
 	}
@@ -231,9 +232,9 @@
 
 // awaitSent waits until the last frames of all streams are sent.
 func (d *linksDuty) awaitSent(ctx context.Context) {
-	ticker := time.NewTicker(sentPollTime)
+	ticker := time.NewTicker(sentPollInterval)
 	defer ticker.Stop()
-	for d.waiting.Load() > 0 {
+	for d.unfinished.Load() > 0 {
 		select {
 		case <-ctx.Done():
 			return
@@ -251,5 +252,5 @@
 
 // Dump returns the state of the duty.
 func (d *linksDuty) Dump(context.Context) any {
-	return linksDump{Sessions: d.sessions.Load(), Streams: d.streams.Load(), Waiting: d.waiting.Load()}
+	return linksDump{Sessions: d.sessions.Load(), Streams: d.streams.Load(), Waiting: d.unfinished.Load()}
 }
--- a/internal/sidecar/orders.go
+++ b/internal/sidecar/orders.go
@@ -19,15 +19,15 @@
 const (
 	ordersInbox = 64
 	ordersTick  = 100 * time.Millisecond
-	// stateTimeout bounds one read of the engine's state.
+	// stateTimeout limits one read of the engine's state.
 	stateTimeout = 2 * time.Second
 )
 
-// ordersAsk asks for the state of the orders duty.
-type ordersAsk struct{ reply chan ordersDump }
+// ordersQuery requests the state of the orders duty.
+type ordersQuery struct{ reply chan ordersDump }
 
-// ordersDuty brings the engine to its row of the plan. No other part of the
-// process orders the engine.
+// ordersDuty brings the engine to the state given by its row of the plan. It is
+// the only duty that sends orders to the engine.
 type ordersDuty struct {
 	inbox     *ring.Ring[any]
 	engine    engine.Engine
@@ -38,10 +38,11 @@
 	config    orders.Config
 	server    string
 
-	// The rest belongs to Serve. number counts the changes of the admission.
-	executor *orders.Executor
-	number   uint64
-	row      plan.Engine
+	// The fields below are used by Serve only. admissionEpoch counts the changes
+	// of admission.
+	executor       *orders.Executor
+	admissionEpoch uint64
+	row            plan.Engine
 }
 
 func newOrders(i do.Injector) (*ordersDuty, error) {
@@ -66,19 +67,19 @@
 // String names the duty.
 func (d *ordersDuty) String() string { return "orders" }
 
-// setRow gives the engine's row of the plan in force.
+// setRow sets the engine's row of the active plan.
 func (d *ordersDuty) setRow(ctx context.Context, row plan.Engine) {
 	_ = d.inbox.PutWait(ctx, orders.RowReceived{Row: row})
 }
 
-// setDrainTimeout gives the time that operators leave running requests before
-// a planned change.
+// setDrainTimeout sets the time that running requests have to finish before a
+// planned change.
 func (d *ordersDuty) setDrainTimeout(ctx context.Context, timeout time.Duration) {
 	_ = d.inbox.PutWait(ctx, orders.DrainTimeoutSet{Timeout: timeout})
 }
 
-// Serve follows the plan until ctx ends. Begun again after a panic, it knows no
-// more than a fresh process: an order may be in flight.
+// Serve follows the plan until ctx is done. Restarted after a panic, it assumes
+// nothing about the engine, as in a new process: an order may be in flight.
 func (d *ordersDuty) Serve(ctx context.Context) error {
 	d.executor = orders.New(time.Now(), d.config)
 	d.stopAdmitting(ctx, "the state of the engine is not known yet")
@@ -87,10 +88,10 @@
 	for {
 		select {
 		case m := <-d.inbox.C():
-			d.take(ctx, m)
+			d.handle(ctx, m)
 		case count := <-d.requests.counts.C():
-			d.countWork(ctx, count)
-		case <-d.requests.broke.C():
+			d.handleWorkCount(ctx, count)
+		case <-d.requests.engineSuspect.C():
 			d.step(ctx, orders.EngineMayHaveCrashed{})
 		case <-ticker.C:
 			d.step(ctx, orders.Tick{})
@@ -100,9 +101,9 @@
 	}
 }
 
-func (d *ordersDuty) take(ctx context.Context, m any) {
+func (d *ordersDuty) handle(ctx context.Context, m any) {
 	switch m := m.(type) {
-	case ordersAsk:
+	case ordersQuery:
 		m.reply <- d.dump()
 	case orders.RowReceived:
 		d.row = m.Row
@@ -115,14 +116,14 @@
 	}
 }
 
-// countWork passes the count of running requests on, unless it is older than
-// the last change of the admission.
+// handleWorkCount passes on the count of running requests, unless it is older
+// than the last change of admission.
 //
-// A count from before the admission closed says nothing about what was let in
-// since. An order that trusts it would cut a request that started meanwhile.
-// While the admission is open, a request may start at any moment, and counts.
-func (d *ordersDuty) countWork(ctx context.Context, c workCount) {
-	if c.number != d.number {
+// A count from before admission closed misses requests admitted since, and an
+// order that relies on it would interrupt them. While admission is open, one
+// request is added, because one may start at any moment.
+func (d *ordersDuty) handleWorkCount(ctx context.Context, c workCount) {
+	if c.epoch != d.admissionEpoch {
 		return
 	}
 	count := c.running
@@ -134,69 +135,71 @@
 
 func (d *ordersDuty) step(ctx context.Context, event orders.Event) {
 	for _, effect := range d.executor.Step(time.Now(), event) {
-		d.do(ctx, effect)
+		d.perform(ctx, effect)
 	}
 }
 
-func (d *ordersDuty) do(ctx context.Context, effect orders.Effect) {
+func (d *ordersDuty) perform(ctx context.Context, effect orders.Effect) {
 	switch e := effect.(type) {
 	case orders.Admit:
 		d.admit(ctx, e)
 	case orders.StopAdmitting:
-		d.note("stops admitting", e.Reason)
+		d.logDecision("stops admitting", e.Reason)
 		d.stopAdmitting(ctx, e.Reason)
 	case orders.HandOver:
-		d.admission.tell(ctx, engineHandOver{})
+		d.admission.post(ctx, engineHandOver{})
 	case orders.ReadState:
 		go d.readState(ctx, time.Now())
 	case orders.SendOrder:
-		d.note("orders the engine", fmt.Sprintf("generation %d: %s, %s", e.Order.Generation, e.Order.Role, d.row.Reason))
+		d.logDecision("orders the engine", fmt.Sprintf("generation %d: %s, %s", e.Order.Generation, e.Order.Role, d.row.Reason))
 		go d.sendOrder(ctx, e.Order)
 	}
 }
 
-// admit opens the admission. From here on a request may start at any moment.
+// admit opens admission. From now on a request may start at any moment, so the
+// executor counts one as running.
 func (d *ordersDuty) admit(ctx context.Context, e orders.Admit) {
-	d.number++
-	d.note("admits", fmt.Sprintf("generation %d: %s %s", e.Applied.Generation, e.Applied.Role, e.Applied.Model))
-	d.admission.tell(ctx, engineOpen{number: d.number})
+	d.admissionEpoch++
+	d.logDecision("admits", fmt.Sprintf("generation %d: %s %s", e.Applied.Generation, e.Applied.Role, e.Applied.Model))
+	d.admission.post(ctx, engineAvailable{epoch: d.admissionEpoch})
 	d.step(ctx, orders.RunningRequests{Count: 1})
 }
 
-// stopAdmitting closes the admission. What runs is not known until the request
-// table has answered.
-func (d *ordersDuty) stopAdmitting(ctx context.Context, why string) {
-	d.number++
-	d.admission.tell(ctx, engineClosed{number: d.number, why: why})
+// stopAdmitting closes admission. The number of running requests is unknown until
+// the request table reports it for the new epoch.
+func (d *ordersDuty) stopAdmitting(ctx context.Context, reason string) {
+	d.admissionEpoch++
+	d.admission.post(ctx, engineUnavailable{epoch: d.admissionEpoch, reason: reason})
 }
 
-func (d *ordersDuty) note(decision, why string) {
-	d.explain.Add(time.Now(), d.server, decision, why)
+func (d *ordersDuty) logDecision(decision, reason string) {
+	d.explain.Add(time.Now(), d.server, decision, reason)
 }
 
-// readState reads the engine's state, for the orders and for the reports.
-func (d *ordersDuty) readState(ctx context.Context, asked time.Time) {
-	reading, cancel := context.WithTimeout(ctx, stateTimeout)
+// readState reads the engine's state and passes it on to the executor, the
+// request table and the reports duty.
+func (d *ordersDuty) readState(ctx context.Context, requestedAt time.Time) {
+	readCtx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
-	state, err := d.engine.State(reading)
+	state, err := d.engine.State(readCtx)
 	if err == nil {
 		_ = d.requests.inbox.PutWait(ctx, engineState{state: state})
 		d.reports.inbox.Put(engineState{state: state})
 	}
-	_ = d.inbox.PutWait(ctx, orders.StateRead{RequestedAt: asked, State: state, Err: err})
+	_ = d.inbox.PutWait(ctx, orders.StateRead{RequestedAt: requestedAt, State: state, Err: err})
 }
 
 func (d *ordersDuty) sendOrder(ctx context.Context, o engine.Order) {
-	sending, cancel := context.WithTimeout(ctx, d.config.OrderTimeout)
+	sendCtx, cancel := context.WithTimeout(ctx, d.config.OrderTimeout)
 	defer cancel()
-	err := d.engine.Order(sending, o)
+	err := d.engine.Order(sendCtx, o)
 	_ = d.inbox.PutWait(ctx, orders.OrderAnswered{Generation: o.Generation, Err: err})
 }
 
 // ordersDump is the state of the duty for operators.
 type ordersDump struct {
 	Phase orders.Phase `json:"phase"`
-	// Generation is the one in force at the engine.
+	// Generation is the one applied at the engine.
 	Generation uint64      `json:"generation"`
 	Row        plan.Engine `json:"row"`
 }
@@ -207,5 +210,5 @@
 
 // Dump returns the state of the duty.
 func (d *ordersDuty) Dump(ctx context.Context) any {
-	return ask(ctx, d.inbox, func(reply chan ordersDump) any { return ordersAsk{reply: reply} })
+	return query(ctx, d.inbox, func(reply chan ordersDump) any { return ordersQuery{reply: reply} })
 }
--- a/internal/sidecar/reports.go
+++ b/internal/sidecar/reports.go
@@ -15,7 +15,7 @@
 const (
 	reportsInbox = 8
 	// reportInterval is how often the engine's load and cache events are read.
-	// They lag by more than that.
+	// The engine's data lags by more than that.
 	reportInterval = 250 * time.Millisecond
 	reportTimeout  = time.Second
 )
@@ -25,7 +25,7 @@
 	reportsFailed = metrics.GetOrRegisterCounter("reports.failed", nil)
 )
 
-type reportsAsk struct{ reply chan reportsDump }
+type reportsQuery struct{ reply chan reportsDump }
 
 // reportsDuty reads the engine's load and cache events.
 type reportsDuty struct {
@@ -34,7 +34,7 @@
 	requests *requestsDuty
 	control  *controlDuty
 
-	// The rest belongs to Serve.
+	// The fields below are used by Serve only.
 	events cacheEvents
 	load   engine.Load
 }
@@ -51,14 +51,14 @@
 // String names the duty.
 func (d *reportsDuty) String() string { return "reports" }
 
-// Serve reads reports until ctx ends.
+// Serve reads reports until ctx is done.
 func (d *reportsDuty) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case m := <-d.inbox.C():
-			d.take(m)
+			d.handle(m)
 		case <-ticker.C:
 			d.read(ctx)
 		case <-ctx.Done():
@@ -67,12 +67,12 @@
 	}
 }
 
-func (d *reportsDuty) take(m any) {
+func (d *reportsDuty) handle(m any) {
 	switch m := m.(type) {
 	case engineState:
-		d.events.restarted(m.state.Incarnation)
-	case reportsAsk:
-		m.reply <- reportsDump{Load: d.load, LastEvent: d.events.after}
+		d.events.setIncarnation(m.state.Incarnation)
+	case reportsQuery:
+		m.reply <- reportsDump{Load: d.load, LastEvent: d.events.lastSequence}
 	}
 }
 
@@ -97,56 +97,56 @@
 }
 
 func (d *reportsDuty) readEvents(ctx context.Context) {
-	events, err := d.engine.CacheEvents(ctx, d.events.after)
+	events, err := d.engine.CacheEvents(ctx, d.events.lastSequence)
 	if err != nil {
 		reportsFailed.Inc(1)
 		return
 	}
-	for _, frame := range d.events.take(events) {
+	for _, frame := range d.events.newFrames(events) {
 		d.control.announce(&wire.Frame{Body: &wire.Frame_CacheEvents{CacheEvents: frame}})
 	}
 }
 
-// cacheEvents follows the cache events of an engine.
+// cacheEvents tracks the sequence numbers of an engine's cache events.
 type cacheEvents struct {
 	incarnation string
-	// after is the number of the last event seen.
-	after uint64
-	// base is added to the numbers of this incarnation.
-	base uint64
+	// lastSequence is the engine's number of the last event read.
+	lastSequence uint64
+	// sequenceOffset is added to the numbers of the current incarnation.
+	sequenceOffset uint64
 }
 
-// restarted notes which incarnation of the engine is read.
+// setIncarnation sets the engine incarnation whose events are read.
 //
-// The events of a restarted engine are numbered from 1 again, and its cache is
-// empty. Entries would take them for repetitions and go on routing to a cache
-// that is gone; one would notice long times to the first token. The numbers
-// that they see leave a gap instead, which makes them forget.
-func (c *cacheEvents) restarted(incarnation string) {
+// A restarted engine has an empty cache and numbers its events from 1. Entries
+// would take them for duplicates and keep routing for prefix cache hits that no
+// longer exist, with a long time to first token. So the numbers sent to entries
+// skip one: the gap makes entries discard their view of the cache.
+func (c *cacheEvents) setIncarnation(incarnation string) {
 	if incarnation == c.incarnation {
 		return
 	}
 	if c.incarnation != "" {
-		c.base += c.after + 1
-		c.after = 0
+		c.sequenceOffset += c.lastSequence + 1
+		c.lastSequence = 0
 	}
 	c.incarnation = incarnation
 }
 
-// take returns the new events as frames, one for each so that entries see
-// where events were lost.
-func (c *cacheEvents) take(events []engine.CacheEvent) []*wire.CacheEvents {
+// newFrames returns the events not seen before, one frame for each, so that the
+// sequence numbers show entries where events were lost.
+func (c *cacheEvents) newFrames(events []engine.CacheEvent) []*wire.CacheEvents {
 	frames := []*wire.CacheEvents{}
 	for _, e := range events {
-		if e.Sequence <= c.after {
+		if e.Sequence <= c.lastSequence {
 			continue
 		}
-		if e.Sequence > c.after+1 {
+		if e.Sequence > c.lastSequence+1 {
 			eventGaps.Inc(1)
 		}
-		c.after = e.Sequence
+		c.lastSequence = e.Sequence
 		frames = append(frames, &wire.CacheEvents{
-			FirstSequence: c.base + e.Sequence,
+			FirstSequence: c.sequenceOffset + e.Sequence,
 			Stored:        e.Stored,
 			Evicted:       e.Evicted,
 		})
@@ -162,5 +162,5 @@
 
 // Dump returns the state of the duty.
 func (d *reportsDuty) Dump(ctx context.Context) any {
-	return ask(ctx, d.inbox, func(reply chan reportsDump) any { return reportsAsk{reply: reply} })
+	return query(ctx, d.inbox, func(reply chan reportsDump) any { return reportsQuery{reply: reply} })
 }
--- a/internal/sidecar/requests.go
+++ b/internal/sidecar/requests.go
@@ -18,87 +18,88 @@
 
 const (
 	requestsInbox = 4096
-	// loadInterval is the least time between two reports of the load. Entries
-	// correct the last one by what they have sent since.
-	loadInterval = 200 * time.Millisecond
-	idlePollTime = 10 * time.Millisecond
+	// loadInterval is the minimum time between two load reports. Entries correct
+	// the last one by the requests that they have sent since.
+	loadInterval     = 200 * time.Millisecond
+	idlePollInterval = 10 * time.Millisecond
 )
 
-// The messages to the requests duty.
+// Messages to the requests duty.
 type (
-	// opened is the first frame of a stream.
-	opened struct {
+	// streamOpened is the first frame of a stream.
+	streamOpened struct {
 		stream *stream
 		event  requests.Event
 	}
-	// happened is any other event of the table.
-	happened struct{ event requests.Event }
-	// admissionSet opens or closes the admission; the count of running
-	// requests that is told after it carries its number.
-	admissionSet struct {
-		number uint64
-		event  requests.Event
+	// tableEvent is any other event for the table.
+	tableEvent struct{ event requests.Event }
+	// admissionChanged opens or closes admission. Each workCount after it
+	// carries its epoch.
+	admissionChanged struct {
+		epoch uint64
+		event requests.Event
 	}
-	engineLoad  struct{ load engine.Load }
-	engineState struct{ state engine.State }
-	requestsAsk struct{ reply chan requests.Dump }
-	// liveAsk asks how many requests have no outcome.
-	liveAsk struct{ reply chan int }
+	engineLoad    struct{ load engine.Load }
+	engineState   struct{ state engine.State }
+	requestsQuery struct{ reply chan requests.Dump }
+	// activeQuery requests the number of requests without an outcome.
+	activeQuery struct{ reply chan int }
 )
 
-// workCount tells how much the backend server runs, as of the admission with
-// the number.
+// workCount is the number of running requests, counted after the change of
+// admission with the given epoch.
 type workCount struct {
-	number    uint64
+	epoch     uint64
 	admitting bool
 	running   int
 }
 
-// requestsDuty owns the request table and carries out what it wants done.
+// requestsDuty owns the request table and carries out its effects.
 type requestsDuty struct {
-	inbox   *ring.Ring[any]
-	counts  *ring.Ring[workCount]
-	broke   *ring.Ring[struct{}]
-	claims  claimKeeper
-	runner  *runner
-	explain *explain.Log
-	control *controlDuty
-	self    daemon.Incarnation
+	inbox         *ring.Ring[any]
+	counts        *ring.Ring[workCount]
+	engineSuspect *ring.Ring[struct{}]
+	claims        claimStore
+	runner        *runner
+	explain       *explain.Log
+	control       *controlDuty
+	incarnation   daemon.Incarnation
 
-	// The rest belongs to Serve.
-	table     *requests.Table
-	serving   bool
-	pending   []requests.Effect
-	streams   map[requests.Stream]*stream
-	cancels   map[requests.RunID]context.CancelFunc
-	claimed   map[requests.ClaimID]claims.Request
-	admission uint64
-	report    requests.EngineReport
-	told      workCount
-	// load is the last one reported, at loadAt; loadDue says that it is no
-	// longer true.
-	loadAt  time.Time
-	loadDue bool
-	// tickAt is when the table sees time pass.
-	tickAt time.Time
+	// The fields below are used by Serve only. serving is set while Serve runs; if
+	// it is set on entry, the previous Serve panicked.
+	table          *requests.Table
+	serving        bool
+	pending        []requests.Effect
+	streams        map[requests.Stream]*stream
+	cancels        map[requests.RunID]context.CancelFunc
+	claimRequests  map[requests.ClaimID]claims.Request
+	admissionEpoch uint64
+	engineReport   requests.EngineReport
+	lastCount      workCount
+	// loadSentAt is when the load was last reported; loadDue is set when it has
+	// changed since.
+	loadSentAt time.Time
+	loadDue    bool
+	// nextTick is the time for which the tick timer is set; zero if it fired.
+	nextTick time.Time
 }
 
 func newRequests(i do.Injector) (*requestsDuty, error) {
 	s := do.MustInvoke[settings.Settings](i)
 	d := &requestsDuty{
-		inbox:   ring.New[any]("requests", requestsInbox, ring.Reject),
-		counts:  ring.New[workCount]("requests.counts", 1, ring.DropOldest),
-		broke:   ring.New[struct{}]("requests.broke", 1, ring.DropOldest),
-		claims:  do.MustInvoke[*claims.Duty](i),
-		explain: do.MustInvoke[*explain.Log](i),
-		control: do.MustInvoke[*controlDuty](i),
-		self:    do.MustInvoke[daemon.Incarnation](i),
-		table:   requests.New(tableConfig(s), newRandom()),
-		streams: map[requests.Stream]*stream{},
-		cancels: map[requests.RunID]context.CancelFunc{},
-		claimed: map[requests.ClaimID]claims.Request{},
+		inbox:         ring.New[any]("requests", requestsInbox, ring.Reject),
+		counts:        ring.New[workCount]("requests.counts", 1, ring.DropOldest),
+		engineSuspect: ring.New[struct{}]("requests.broke", 1, ring.DropOldest),
+		claims:        do.MustInvoke[*claims.Duty](i),
+		explain:       do.MustInvoke[*explain.Log](i),
+		control:       do.MustInvoke[*controlDuty](i),
+		incarnation:   do.MustInvoke[daemon.Incarnation](i),
+		table:         requests.New(tableConfig(s), newRandom()),
+		streams:       map[requests.Stream]*stream{},
+		cancels:       map[requests.RunID]context.CancelFunc{},
+		claimRequests: map[requests.ClaimID]claims.Request{},
 	}
-	d.runner = &runner{backend: do.MustInvoke[backend](i), post: d.mustPost}
+	d.runner = &runner{backend: do.MustInvoke[backend](i), post: d.postAlways}
 	return d, nil
 }
 
@@ -115,28 +116,28 @@
 // String names the duty.
 func (d *requestsDuty) String() string { return "requests" }
 
-// open hands over the first frame of a stream. It reports false, and nobody
-// has seen the frame, when too many messages wait.
+// open queues the first frame of a stream. It returns false and drops the frame
+// if the inbox is full.
 func (d *requestsDuty) open(s *stream, event requests.Event) bool {
-	return d.inbox.Put(opened{stream: s, event: event})
+	return d.inbox.Put(streamOpened{stream: s, event: event})
 }
 
-// post hands over an event that must not be lost.
+// post queues an event and waits for space in the inbox.
 func (d *requestsDuty) post(ctx context.Context, event requests.Event) {
-	_ = d.inbox.PutWait(ctx, happened{event: event})
+	_ = d.inbox.PutWait(ctx, tableEvent{event: event})
 }
 
-// mustPost is post for what a run or claim that is under way brings: it comes
-// also while the duty is restarted.
-func (d *requestsDuty) mustPost(event requests.Event) { d.post(context.Background(), event) }
+// postAlways is post for events of runs and claims in progress. They must arrive
+// even while the duty is being restarted, so it waits without limit.
+func (d *requestsDuty) postAlways(event requests.Event) { d.post(context.Background(), event) }
 
-// setAdmission opens or closes the admission.
-func (d *requestsDuty) setAdmission(ctx context.Context, number uint64, event requests.Event) {
-	_ = d.inbox.PutWait(ctx, admissionSet{number: number, event: event})
+// setAdmission opens or closes admission.
+func (d *requestsDuty) setAdmission(ctx context.Context, epoch uint64, event requests.Event) {
+	_ = d.inbox.PutWait(ctx, admissionChanged{epoch: epoch, event: event})
 }
 
-// Serve runs the table until ctx ends. Begun again after a panic, it first
-// answers all that the table knew of.
+// Serve runs the table until ctx is done. Restarted after a panic, it first
+// recovers the table, which answers all active requests.
 func (d *requestsDuty) Serve(ctx context.Context) error {
 	if d.serving {
 		next, effects := d.table.Recover(time.Now())
@@ -144,59 +145,59 @@
 		d.pending = append(d.pending, effects...)
 	}
 	d.serving = true
-	d.carryOut()
+	d.performPending()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case m := <-d.inbox.C():
-			d.take(time.Now(), m)
+			d.handle(time.Now(), m)
 		case <-timer.C:
 			d.step(time.Now(), requests.Tick{})
-			d.tickAt = time.Time{}
+			d.nextTick = time.Time{}
 		case <-ctx.Done():
 			d.stopRuns()
 			d.serving = false
 			return ctx.Err()
 		}
 		now := time.Now()
-		d.tell(now)
+		d.publish(now)
 		d.setTimer(now, timer)
 	}
 }
 
-// setTimer sets the timer to the next tick, if that is sooner than the one it
-// is set to.
+// setTimer sets the timer to the next tick or load report, unless it is set to an
+// earlier time.
 func (d *requestsDuty) setTimer(now time.Time, timer *time.Timer) {
-	next := d.table.Next(now)
-	if report := d.loadAt.Add(loadInterval); d.loadDue && report.Before(next) {
-		next = report
+	next := d.table.NextTick(now)
+	if loadReport := d.loadSentAt.Add(loadInterval); d.loadDue && loadReport.Before(next) {
+		next = loadReport
 	}
-	if d.tickAt.IsZero() || next.Before(d.tickAt) {
-		d.tickAt = next
+	if d.nextTick.IsZero() || next.Before(d.nextTick) {
+		d.nextTick = next
 		timer.Reset(next.Sub(now))
 	}
 }
 
-func (d *requestsDuty) take(now time.Time, m any) {
+func (d *requestsDuty) handle(now time.Time, m any) {
 	switch m := m.(type) {
-	case opened:
+	case streamOpened:
 		d.streams[m.stream.number] = m.stream
 		d.step(now, m.event)
-	case happened:
+	case tableEvent:
 		d.step(now, m.event)
-	case admissionSet:
-		d.admission = m.number
+	case admissionChanged:
+		d.admissionEpoch = m.epoch
 		d.step(now, m.event)
 	case engineLoad:
-		d.report.Load = m.load
-		d.step(now, d.report)
+		d.engineReport.Load = m.load
+		d.step(now, d.engineReport)
 	case engineState:
-		d.report.State = m.state
-		d.step(now, d.report)
-	case requestsAsk:
+		d.engineReport.State = m.state
+		d.step(now, d.engineReport)
+	case requestsQuery:
 		m.reply <- d.table.Dump(now)
-	case liveAsk:
+	case activeQuery:
 		m.reply <- d.table.Active()
 	}
 }
@@ -204,10 +205,11 @@
 func (d *requestsDuty) step(now time.Time, event requests.Event) {
 	d.release(event)
 	d.pending = append(d.pending, d.table.Step(now, event)...)
-	d.carryOut()
+	d.performPending()
 }
 
-// release drops what is held for something that has ended.
+// release frees the resources of a closed stream, a finished run or a claim that
+// was not granted.
 func (d *requestsDuty) release(event requests.Event) {
 	switch e := event.(type) {
 	case requests.StreamClosed:
@@ -217,28 +219,28 @@
 		delete(d.cancels, e.Run)
 	case requests.ClaimDecided:
 		if !e.Granted {
-			delete(d.claimed, e.Claim)
+			delete(d.claimRequests, e.Claim)
 		}
 	}
 }
 
-// carryOut does what is pending, each effect once, even if one panics.
-func (d *requestsDuty) carryOut() {
+// performPending carries out the pending effects, each once, even if one panics.
+func (d *requestsDuty) performPending() {
 	for len(d.pending) > 0 {
 		next := d.pending[0]
 		d.pending = d.pending[1:]
-		d.do(next)
+		d.perform(next)
 	}
 }
 
-func (d *requestsDuty) do(effect requests.Effect) {
+func (d *requestsDuty) perform(effect requests.Effect) {
 	switch e := effect.(type) {
 	case requests.Send:
 		d.send(e)
 	case requests.Run:
 		ctx, cancel := context.WithCancel(context.Background())
 		d.cancels[e.Run] = cancel
-		go d.runner.do(ctx, e)
+		go d.runner.execute(ctx, e)
 	case requests.CancelRun:
 		d.cancelRun(e.Run)
 	case requests.Claim:
@@ -246,9 +248,9 @@
 	case requests.SettleClaim:
 		d.settle(e)
 	case requests.CheckEngine:
-		d.broke.Put(struct{}{})
-	case requests.Note:
-		d.explain.Add(time.Now(), e.Subject, e.Decision, e.Why)
+		d.engineSuspect.Put(struct{}{})
+	case requests.LogDecision:
+		d.explain.Add(time.Now(), e.Subject, e.Decision, e.Reason)
 	}
 }
 
@@ -258,7 +260,7 @@
 		return
 	}
 	if r := e.Frame.GetResolution(); r != nil {
-		r.Incarnation = d.self.String()
+		r.Incarnation = d.incarnation.String()
 	}
 	s.send(e)
 	if e.Last {
@@ -272,52 +274,51 @@
 	}
 }
 
-// claim asks for a key in a goroutine of its own; there are at most as many as
-// the table lets wait.
+// claim claims a key in a separate goroutine. The table limits the number of
+// concurrent claims.
 func (d *requestsDuty) claim(e requests.Claim) {
 	request := claimRequest(e)
-	d.claimed[e.Claim] = request
+	d.claimRequests[e.Claim] = request
 	go func() {
 		ctx, cancel := context.WithDeadline(context.Background(), e.Deadline)
 		defer cancel()
-		d.mustPost(claimAnswered(e.Claim, d.claims.Claim(ctx, request)))
+		d.postAlways(claimDecided(e.Claim, d.claims.Claim(ctx, request)))
 	}()
 }
 
 func (d *requestsDuty) settle(e requests.SettleClaim) {
-	request, ok := d.claimed[e.Claim]
+	request, ok := d.claimRequests[e.Claim]
 	if !ok {
 		return
 	}
-	delete(d.claimed, e.Claim)
-	go settle(d.claims, request, e)
+	delete(d.claimRequests, e.Claim)
+	go settleClaim(d.claims, request, e)
 }
 
-// tell reports what has changed to the other duties.
-func (d *requestsDuty) tell(now time.Time) {
-	count := workCount{number: d.admission, admitting: d.table.Admitting(), running: d.table.Running()}
-	opened := count.admitting != d.told.admitting
-	if count != d.told {
-		d.told = count
+// publish reports changes of the work count and the load to the other duties.
+func (d *requestsDuty) publish(now time.Time) {
+	count := workCount{epoch: d.admissionEpoch, admitting: d.table.Admitting(), running: d.table.Running()}
+	toggled := count.admitting != d.lastCount.admitting
+	if count != d.lastCount {
+		d.lastCount = count
 		d.counts.Put(count)
 		d.loadDue = true
 	}
-	if opened || now.Sub(d.loadAt) >= loadInterval {
-		d.loadAt, d.loadDue = now, false
+	if toggled || now.Sub(d.loadSentAt) >= loadInterval {
+		d.loadSentAt, d.loadDue = now, false
 		d.control.setLoad(d.table.Load())
 	}
 }
 
-// awaitIdle waits until no request is without outcome. The question goes
-// through the inbox: behind a change of the admission, it counts all that was
-// let in before.
+// awaitIdle waits until every request has an outcome. The query goes through the
+// inbox, so after a change of admission it counts all requests admitted before.
 func (d *requestsDuty) awaitIdle(ctx context.Context) {
 	for ctx.Err() == nil {
-		live := ask(ctx, d.inbox, func(reply chan int) any { return liveAsk{reply: reply} })
-		if live == 0 {
+		active := query(ctx, d.inbox, func(reply chan int) any { return activeQuery{reply: reply} })
+		if active == 0 {
 			return
 		}
-		time.Sleep(idlePollTime)
+		time.Sleep(idlePollInterval)
 	}
 }
 
@@ -327,12 +328,11 @@
 	}
 }
 
-// Dump returns the state of the table.
+// Dump returns the state of the request table.
 func (d *requestsDuty) Dump(ctx context.Context) any {
-	return ask(ctx, d.inbox, func(reply chan requests.Dump) any { return requestsAsk{reply: reply} })
+	return query(ctx, d.inbox, func(reply chan requests.Dump) any { return requestsQuery{reply: reply} })
 }
 
-// loadFrame returns the load as a frame.
 func loadFrame(load *wire.Load) *wire.Frame {
 	return &wire.Frame{Body: &wire.Frame_Load{Load: load}}
 }
--- a/internal/sidecar/requests/attach.go
+++ b/internal/sidecar/requests/attach.go
@@ -7,51 +7,52 @@
 	"pistachioroad.dev/pistachioroad/internal/wire"
 )
 
-// again answers a Start for a request that has no outcome yet. It never runs a
-// second time: the newer attempt takes the answer over.
+// duplicateStart handles a Start for an active request. The request does not
+// run again: the answer is redirected to the newer attempt.
 //
-// An entry that lost its connection sends the request again, or two requests
-// came under one id. Run twice, they would place a hold twice; joined blindly,
-// one caller would read the other's answer.
-func (t *Table) again(now time.Time, r *request, e StartReceived) {
-	refuse := func(code verdict.Code, why string) {
-		t.refuseFrame(e, verdict.New(verdict.MayHaveRun, code, why))
+// Duplicates come from entries that retry after a lost connection, or from two
+// requests with the same id. Running both would execute a call twice; attaching
+// without checking the fingerprint would send one caller the other's answer.
+func (t *Table) duplicateStart(now time.Time, r *request, e StartReceived) {
+	reject := func(code verdict.Code, reason string) {
+		t.rejectStart(e, verdict.New(verdict.MayHaveRun, code, reason))
 	}
-	if r.print != fingerprint(e.Start) {
-		refuse(verdict.CodeBadRequest, "the request id belongs to another request")
+	if r.fingerprint != fingerprint(e.Start) {
+		reject(verdict.CodeBadRequest, "the request id belongs to another request")
 		return
 	}
 	if e.Start.GetAttempt() <= r.attempt {
-		refuse(verdict.CodeOutcomeUnknown, "the request is under way for this or a later attempt")
+		reject(verdict.CodeOutcomeUnknown, "the request is under way for this or a later attempt")
 		return
 	}
 	next, ok := resumePoint(r, e.Start)
-	if !ok || r.stopping || t.ledger.late(now, e.Age) {
-		refuse(verdict.CodeOutcomeUnknown, "the request is under way and cannot be joined")
+	if !ok || r.cancelling || t.ledger.tooOld(now, e.Age) {
+		reject(verdict.CodeOutcomeUnknown, "the request is under way and cannot be joined")
 		return
 	}
 	t.attach(r, e, next)
 }
 
-// resumePoint returns the chunk of r's answer that a new attempt goes on with.
+// resumePoint returns the index of the chunk of r's answer from which a new
+// attempt continues, or false if it cannot.
 func resumePoint(r *request, s *wire.Start) (int, bool) {
-	before := r.start.GetGenerate().GetResumeFrom()
+	resumedFrom := r.start.GetGenerate().GetResumeFrom()
 	from := s.GetGenerate().GetResumeFrom()
-	if from < before {
+	if from < resumedFrom {
 		return 0, false
 	}
-	return r.answer.after(int(from - before))
+	return r.answer.indexAfterTokens(int(from - resumedFrom))
 }
 
 func (t *Table) attach(r *request, e StartReceived, next int) {
-	if old := r.stream; old != nil {
+	if old := r.subscriber; old != nil {
 		t.sendRefusal(old.stream, r.key, old.attempt,
 			verdict.New(verdict.MayHaveRun, verdict.CodeOutcomeUnknown, "a later attempt took over"))
 		t.unsubscribe(r)
 	}
-	t.note(r, "attached", "a later attempt takes the answer over")
+	t.logDecision(r, "attached", "a later attempt takes the answer over")
 	t.subscribe(r, e.Stream, e.Start.GetAttempt())
-	for _, c := range merge(r.answer.chunks[next:]) {
+	for _, c := range mergeChunks(r.answer.chunks[next:]) {
 		t.sendChunk(r, c)
 	}
 }
--- a/internal/sidecar/requests/claim.go
+++ b/internal/sidecar/requests/claim.go
@@ -7,14 +7,14 @@
 	"pistachioroad.dev/pistachioroad/internal/wire"
 )
 
-// claim asks for the idempotency key of r.
+// claim requests the claim of r's idempotency key.
 func (t *Table) claim(r *request) {
 	r.phase = claiming
 	r.claim = ClaimID(t.nextSerial())
-	t.claims[r.claim] = r
+	t.byClaim[r.claim] = r
 	t.emit(Claim{
 		Claim:    r.claim,
-		Request:  r.key.name(),
+		Request:  r.key.requestID(),
 		Service:  r.start.GetService(),
 		Key:      r.start.GetIdempotencyKey(),
 		Digest:   r.start.GetBodyDigest(),
@@ -22,60 +22,60 @@
 	})
 }
 
-func (t *Table) claimAnswered(now time.Time, e ClaimDecided) {
-	r, ok := t.claims[e.Claim]
+func (t *Table) claimDecided(now time.Time, e ClaimDecided) {
+	r, ok := t.byClaim[e.Claim]
 	if !ok {
-		// The request was given up meanwhile and never starts: its key is
-		// free again.
+		// The request was cancelled in the meantime and never starts: release
+		// its key.
 		if e.Granted {
 			t.emit(SettleClaim{Claim: e.Claim, Verdict: verdict.NotRun})
 		}
 		return
 	}
-	delete(t.claims, e.Claim)
+	delete(t.byClaim, e.Claim)
 	switch {
 	case e.Granted:
-		r.claimed = true
+		r.claimHeld = true
 		t.enqueue(now, r)
 	case e.Final != nil:
 		t.claimReplayed(now, r, e)
 	default:
-		t.claimRefused(now, r, e.Err)
+		t.claimRejected(now, r, e.Err)
 	}
 }
 
-// claimReplayed answers with what an earlier request with the key got.
+// claimReplayed sends the stored answer of an earlier request with the key.
 func (t *Table) claimReplayed(now time.Time, r *request, e ClaimDecided) {
-	stream := r.stream
-	t.note(r, "replayed", "the idempotency key has a kept answer")
-	rec := t.retire(now, r, verdict.Ran)
+	sub := r.subscriber
+	t.logDecision(r, "replayed", "the idempotency key has a kept answer")
+	rec := t.recordOutcome(now, r, verdict.Ran)
 	for _, c := range e.Chunks {
 		r.answer.add(c.GetData(), c.GetTokens())
 	}
 	final := &wire.Final{Status: e.Final.GetStatus(), Headers: e.Final.GetHeaders(), Replayed: true}
-	t.ledger.keep(rec, r.answer, final)
-	if stream != nil {
-		t.replay(stream.stream, r.key, stream.attempt, r.answer.chunks, final)
+	t.ledger.cacheAnswer(rec, r.answer, final)
+	if sub != nil {
+		t.replay(sub.stream, r.key, sub.attempt, r.answer.chunks, final)
 	}
 }
 
-// claimRefused ends a keyed call that must not run here. Its verdict is that
-// of the key, which an earlier request may have run.
-func (t *Table) claimRefused(now time.Time, r *request, err *verdict.Error) {
-	t.note(r, "refused", err.Error())
-	stream := r.stream
-	t.retire(now, r, err.Verdict)
-	if stream != nil {
-		t.sendRefusal(stream.stream, r.key, stream.attempt, err)
+// claimRejected rejects a keyed call that must not run here. The verdict is that
+// of the key: an earlier request with it may have run.
+func (t *Table) claimRejected(now time.Time, r *request, err *verdict.Error) {
+	t.logDecision(r, "refused", err.Error())
+	sub := r.subscriber
+	t.recordOutcome(now, r, err.Verdict)
+	if sub != nil {
+		t.sendRefusal(sub.stream, r.key, sub.attempt, err)
 	}
 }
 
-// settle ends the claim of r, if it holds one.
-func (t *Table) settle(r *request, v verdict.Verdict, final *wire.Final) {
-	if !r.claimed {
+// settleClaim records the outcome of r's claim, if it holds one.
+func (t *Table) settleClaim(r *request, v verdict.Verdict, final *wire.Final) {
+	if !r.claimHeld {
 		return
 	}
-	r.claimed = false
+	r.claimHeld = false
 	settle := SettleClaim{Claim: r.claim, Verdict: v}
 	if v == verdict.Ran && final != nil && !r.answer.dropped {
 		settle.Chunks, settle.Final = r.answer.chunks, final
--- a/internal/sidecar/requests/effect.go
+++ b/internal/sidecar/requests/effect.go
@@ -7,34 +7,34 @@
 	"pistachioroad.dev/pistachioroad/internal/wire"
 )
 
-// Effect is what a Table wants done.
+// Effect is an action that the owner of a Table carries out.
 type Effect interface{ isEffect() }
 
 type (
-	// Send sends a frame on a stream. Last says that none follows.
+	// Send sends a frame on a stream. Last marks the last frame of the stream.
 	Send struct {
 		Stream Stream
 		Frame  *wire.Frame
 		Last   bool
 	}
 
-	// Run starts a run; Piece events and one Ended event answer it. The owner
-	// must check the deadline against the clock once more at the moment of the
-	// call, and answer NotRun when it has passed.
+	// Run starts a run, which reports its chunks and then, once, that it
+	// finished. The owner must check the deadline again at the moment of the
+	// call and finish with NotRun when it has passed.
 	Run struct {
 		Run      RunID
 		Start    *wire.Start
 		Deadline time.Time
 	}
 
-	// CancelRun stops a run. Its Ended event still comes.
+	// CancelRun cancels a run, which still reports that it finished.
 	CancelRun struct{ Run RunID }
 
-	// Claim asks for the idempotency key of a call; ClaimAnswered answers it.
-	// Nothing runs before it is granted.
+	// Claim claims the idempotency key of a call. The call does not run before
+	// the claim is granted.
 	Claim struct {
 		Claim ClaimID
-		// Request is the id of the request.
+		// Request is the request id.
 		Request  string
 		Service  string
 		Key      string
@@ -42,9 +42,9 @@
 		Deadline time.Time
 	}
 
-	// Settle ends a granted claim. Verdict NotRun frees the key; Ran records
-	// Chunks and Final, which are nil if the answer was not whole; after
-	// MayHaveRun the key is never free again.
+	// SettleClaim records the outcome of a granted claim. NotRun releases the key;
+	// Ran stores Chunks and Final, which are nil if the answer is not complete;
+	// MayHaveRun blocks the key, which is never released.
 	SettleClaim struct {
 		Claim   ClaimID
 		Verdict verdict.Verdict
@@ -52,11 +52,12 @@
 		Final   *wire.Final
 	}
 
-	// Suspect says that the engine broke off: its state is to be read.
+	// CheckEngine reports that the engine may have crashed and its state must be
+	// read.
 	CheckEngine struct{}
 
-	// Note is a decision for the log of decisions.
-	Note struct{ Subject, Decision, Why string }
+	// LogDecision adds a record to the decision log.
+	LogDecision struct{ Subject, Decision, Reason string }
 )
 
 func (Send) isEffect()        {}
@@ -65,4 +66,4 @@
 func (Claim) isEffect()       {}
 func (SettleClaim) isEffect() {}
 func (CheckEngine) isEffect() {}
-func (Note) isEffect()        {}
+func (LogDecision) isEffect() {}
--- a/internal/sidecar/requests/event.go
+++ b/internal/sidecar/requests/event.go
@@ -8,49 +8,51 @@
 	"pistachioroad.dev/pistachioroad/internal/wire"
 )
 
-// Stream is the owner's number of the stream that an attempt or a Resolve came
-// on. No number is used twice.
+// Stream identifies the stream of an attempt or a Resolve. The owner of the
+// Table assigns it and never reuses one.
 type Stream uint64
 
-// RunID numbers the runs of a Table and its successors.
+// RunID identifies a run. It is unique across a Table and the tables recovered
+// from it.
 type RunID uint64
 
-// ClaimID numbers the claims of a Table and its successors.
+// ClaimID identifies a claim. It is unique across a Table and the tables
+// recovered from it.
 type ClaimID uint64
 
-// Event is what a Table learns.
+// Event is an input of a Table.
 type Event interface{ isEvent() }
 
 type (
-	// Arrived is a Start frame, the first of its stream.
+	// StartReceived is a Start frame, the first frame of its stream.
 	StartReceived struct {
 		Stream Stream
 		Start  *wire.Start
-		// Age is how long ago the frame was sent, at most; AgeUnknown if there
-		// is no bound.
+		// Age is an upper bound of the time since the frame was sent; AgeUnknown
+		// if none is known.
 		Age time.Duration
 	}
 
-	// Cancelled is a Cancel frame on the stream of an attempt: its caller gave
-	// the request up.
+	// CancelReceived is a Cancel frame on the stream of an attempt: the caller
+	// cancelled the request.
 	CancelReceived struct{ Stream Stream }
 
-	// StreamEnded says that nothing more can be sent on the stream.
+	// StreamClosed reports that nothing more can be sent on the stream.
 	StreamClosed struct{ Stream Stream }
 
-	// ResolveAsked is a Resolve frame, the first of its stream.
+	// ResolveReceived is a Resolve frame, the first frame of its stream.
 	ResolveReceived struct {
 		Stream  Stream
 		Resolve *wire.Resolve
-		// StartAge is the age of the Start that is asked about, at most;
-		// AgeUnknown if there is no bound.
+		// StartAge is an upper bound of the age of the Start in question;
+		// AgeUnknown if none is known.
 		StartAge time.Duration
 	}
 
-	// ClaimAnswered answers a Claim effect, in one of three ways: Granted, the
-	// claim is committed and the call may run once; Final, with Chunks, is the
-	// kept answer of an earlier request with the key; Err is why the call does
-	// not run here, with the verdict on the key.
+	// ClaimDecided is the result of a Claim effect, one of three: Granted, the
+	// claim is committed and the call may run once; Final, with Chunks, the
+	// stored answer of an earlier request with the key; Err, the reason why the
+	// call must not run here, with the verdict for the key.
 	ClaimDecided struct {
 		Claim   ClaimID
 		Granted bool
@@ -59,46 +61,46 @@
 		Err     *verdict.Error
 	}
 
-	// Piece is a part of the answer of a run.
+	// ChunkReceived is a chunk of the answer of a run.
 	ChunkReceived struct {
 		Run    RunID
 		Data   []byte
 		Tokens uint32
 	}
 
-	// Ended ends a run. Exactly one of Final and Err is set. Final has no
-	// request id, count or digest yet.
+	// RunFinished reports that a run finished. Exactly one of Final and Err is
+	// set. Final has no request id, chunk count or digest yet.
 	RunFinished struct {
 		Run   RunID
 		Final *wire.Final
 		Err   *verdict.Error
 	}
 
-	// StopAdmitting refuses all new and waiting requests until Admit, with
-	// Code and Why.
+	// StopAdmitting rejects all new and waiting requests with Code and Reason
+	// until Admit.
 	StopAdmitting struct {
 		Code   verdict.Code
 		Reason string
 	}
 
-	// Admit lets requests in. The engine, if any, is known to be ready.
+	// Admit resumes admission. The engine, if any, is known to be ready.
 	Admit struct{}
 
-	// HandOver ends idempotent runs so that their entries resume them
-	// elsewhere. Others run to their end.
+	// HandOver cancels idempotent runs, so that their entries resume them on
+	// another backend server. Other runs continue to completion.
 	HandOver struct{}
 
-	// EngineReport is what the engine says of itself.
+	// EngineReport is the engine's latest load and state.
 	EngineReport struct {
 		Load  engine.Load
 		State engine.State
 	}
 
-	// Tick lets time pass.
+	// Tick processes timeouts.
 	Tick struct{}
 )
 
-// AgeUnknown is the age of a frame whose sender knows no bound.
+// AgeUnknown is the age of a frame without a known upper bound.
 const AgeUnknown time.Duration = -1
 
 func (StartReceived) isEvent()   {}
--- a/internal/sidecar/requests/expire.go
+++ b/internal/sidecar/requests/expire.go
@@ -7,15 +7,15 @@
 	"pistachioroad.dev/pistachioroad/internal/verdict"
 )
 
-// expire answers what the passing of time has decided.
+// expire rejects and cancels requests whose time limits have passed.
 func (t *Table) expire(now time.Time) {
 	for _, removed := range t.queue.TakeExpired(now) {
-		if r := t.items[removed.ID]; r != nil {
-			t.endUnstarted(now, r, removalError(removed.Reason))
+		if r := t.byItemID[removed.ID]; r != nil {
+			t.rejectWaiting(now, r, removalError(removed.Reason))
 		}
 	}
-	for _, r := range t.inOrder() {
-		t.expireOne(now, r)
+	for _, r := range t.activeBySerial() {
+		t.expireRequest(now, r)
 	}
 }
 
@@ -26,17 +26,17 @@
 	return verdict.New(verdict.NotRun, verdict.CodeDeadlineExceeded, reason.String())
 }
 
-func (t *Table) expireOne(now time.Time, r *request) {
-	late := !now.Before(r.deadline)
+func (t *Table) expireRequest(now time.Time, r *request) {
+	expired := !now.Before(r.deadline)
 	switch {
-	case late && r.phase != running:
-		t.endUnstarted(now, r, verdict.New(verdict.NotRun, verdict.CodeDeadlineExceeded, "the deadline has passed while waiting"))
+	case expired && r.phase != running:
+		t.rejectWaiting(now, r, verdict.New(verdict.NotRun, verdict.CodeDeadlineExceeded, "the deadline has passed while waiting"))
 	case r.phase != running:
-	case late && r.stream != nil:
-		t.giveUp(now, r, verdict.CodeDeadlineExceeded, "the deadline has passed")
-	case r.stream == nil && now.Sub(r.orphanedAt) >= t.cfg.ResumeWait:
-		t.stop(r)
-	case now.Sub(r.startedAt) >= t.cfg.MaxRun && !r.stopping:
+	case expired && r.subscriber != nil:
+		t.abandon(now, r, verdict.CodeDeadlineExceeded, "the deadline has passed")
+	case r.subscriber == nil && now.Sub(r.orphanedAt) >= t.cfg.ResumeWait:
+		t.cancelIfIdempotent(r)
+	case now.Sub(r.startedAt) >= t.cfg.MaxRunTime && !r.cancelling:
 		t.cancelRun(r)
 	}
 }
--- a/internal/sidecar/requests/frame.go
+++ b/internal/sidecar/requests/frame.go
@@ -6,10 +6,10 @@
 	"pistachioroad.dev/pistachioroad/internal/wire"
 )
 
-// FirstFrame returns the event of the first frame of a stream, or false if the
-// frame begins neither an attempt nor a question. The age of a frame is now
-// minus clock_us, by the clock of this process.
-func FirstFrame(stream Stream, f *wire.Frame, clock time.Duration) (Event, bool) {
+// FirstFrameEvent returns the event for the first frame of a stream, or false if
+// the frame is neither a Start nor a Resolve. The age of a frame is the process
+// clock now minus its clock_us, which echoes this process's clock.
+func FirstFrameEvent(stream Stream, f *wire.Frame, clock time.Duration) (Event, bool) {
 	switch body := f.GetBody().(type) {
 	case *wire.Frame_Start:
 		age := frameAge(clock, body.Start.GetClockUs())
@@ -21,17 +21,17 @@
 	return nil, false
 }
 
-// LaterFrame returns the event of any other frame of an attempt's stream, or
-// false if it means nothing there.
-func LaterFrame(stream Stream, f *wire.Frame) (Event, bool) {
+// LaterFrameEvent returns the event for any later frame of a stream, or false if
+// it is not a Cancel.
+func LaterFrameEvent(stream Stream, f *wire.Frame) (Event, bool) {
 	if f.GetCancel() == nil {
 		return nil, false
 	}
 	return CancelReceived{Stream: stream}, true
 }
 
-// frameAge returns how old a frame is at most. A negative age would be a clock
-// that went back; such a frame counts as new.
+// frameAge returns an upper bound of the age of a frame. A frame with a clock
+// value in the future counts as new.
 func frameAge(clock time.Duration, clockUS int64) time.Duration {
 	if clockUS <= 0 {
 		return AgeUnknown
@@ -40,8 +40,8 @@
 	return max(0, clock-sent)
 }
 
-// budget returns the time that a Start brings, within sane bounds: a number
-// near the end of its range would overflow into the past or the far future.
+// budget returns the time budget of a Start, limited to the range from 0 to
+// longest: an extreme value would overflow the deadline.
 func budget(s *wire.Start, longest time.Duration) time.Duration {
 	us := min(max(0, s.GetBudgetUs()), longest.Microseconds())
 	return time.Duration(us) * time.Microsecond
--- a/internal/sidecar/requests/fuzz_test.go
+++ b/internal/sidecar/requests/fuzz_test.go
@@ -12,15 +12,16 @@
 	"pistachioroad.dev/pistachioroad/internal/wire"
 )
 
-// Whatever bytes come on a stream, from a peer of another version or one gone
-// wrong: the table keeps its invariants, and every attempt gets a last word.
+// FuzzFrames guards against malformed frames, from a peer of another version or a
+// faulty one: the table must keep its invariants and send every stream a last
+// frame.
 func FuzzFrames(f *testing.F) {
 	for _, seed := range frameSeeds() {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		table := requests.New(requests.Config{
-			Slots: 2, QueueLength: 2, MaxAnswerBytes: 64, ResumeWait: time.Second, Records: 4,
+			Slots: 2, QueueLength: 2, MaxAnswerBytes: 64, ResumeWait: time.Second, MaxRecords: 4,
 		}, rand.New(rand.NewPCG(1, 2)))
 		now := time.Unix(1_000_000, 0)
 		table.Step(now, requests.Admit{})
@@ -28,13 +29,13 @@
 		now = now.Add(time.Hour)
 		settle(waiting, table.Step(now, requests.Tick{}))
 		if len(waiting) != 0 {
-			t.Fatalf("%d streams got no last word", len(waiting))
+			t.Fatalf("%d streams got no last frame", len(waiting))
 		}
 	})
 }
 
-// feed gives each frame in data a stream of its own and returns the streams
-// without a last word. Runs and claims are never answered.
+// feed delivers each frame in data on a stream of its own and returns the streams
+// without a last frame. Runs never finish and claims are never decided.
 func feed(table *requests.Table, now time.Time, data []byte) map[requests.Stream]bool {
 	waiting := map[requests.Stream]bool{}
 	conn := wire.NewConn(&source{Buffer: bytes.NewBuffer(data)})
@@ -43,11 +44,11 @@
 		if err != nil {
 			return waiting
 		}
-		if event, ok := requests.FirstFrame(stream, frame, time.Hour); ok {
+		if event, ok := requests.FirstFrameEvent(stream, frame, time.Hour); ok {
 			waiting[stream] = true
 			settle(waiting, table.Step(now, event))
 		}
-		if event, ok := requests.LaterFrame(stream-1, frame); ok {
+		if event, ok := requests.LaterFrameEvent(stream-1, frame); ok {
 			settle(waiting, table.Step(now, event))
 		}
 	}
@@ -67,7 +68,7 @@
 
 func frameSeeds() [][]byte {
 	id := uuid.UUID{1}
-	huge := draft(id)
+	huge := generation(id)
 	huge.BudgetUs = 1<<63 - 1
 	huge.GetGenerate().MaxTokens = 1<<32 - 1
 	past := call(id)
@@ -79,7 +80,7 @@
 	resolve := &wire.Frame{Body: &wire.Frame_Resolve{Resolve: &wire.Resolve{RequestId: id[:], ClockUs: 1}}}
 	return [][]byte{
 		encode(start(call(id)), start(call(id)), cancel),
-		encode(start(draft(id)), cancel, resolve),
+		encode(start(generation(id)), cancel, resolve),
 		encode(start(keyedCall(id)), resolve),
 		encode(resolve, start(call(id))),
 		encode(start(huge)),
--- a/internal/sidecar/requests/ledger.go
+++ b/internal/sidecar/requests/ledger.go
@@ -13,214 +13,214 @@
 )
 
 var (
-	keptDropped = metrics.GetOrRegisterCounter("requests.kept.dropped", nil)
-	ledgerFull  = metrics.GetOrRegisterCounter("requests.ledger.full", nil)
+	answersEvicted = metrics.GetOrRegisterCounter("requests.kept.dropped", nil)
+	ledgerFull     = metrics.GetOrRegisterCounter("requests.ledger.full", nil)
 )
 
-// ledger remembers what became of requests, so that "not run" stays true and
-// nothing runs twice.
+// ledger records the outcomes of requests, so that an attempt reported as "not
+// run" never starts later and nothing runs twice.
 //
-// A Start can arrive after its sender was told "not run": it lay in a buffer
-// while this process was paused, or TCP sent it again after minutes. Without a
-// record it would run, and one would notice a hold that nobody asked for. Time
-// alone does not bound how late a frame can be, so the ledger bounds it: a
-// frame older than maxAge is refused unseen. What was sent before a record was
-// made is older than that once the record is dropped, maxAge later; the record
-// of a started request is kept past its deadline too, after which its entry
-// sends no further attempt.
+// A Start can arrive after its sender was told "not run": it was buffered while
+// this process was paused, or TCP retransmitted it minutes later. Without a
+// record it would run, for instance booking something that was reported as
+// failed. Frame delay has no natural limit, so the ledger imposes one: a frame
+// older than maxFrameAge is rejected without further checks. A record is removed
+// maxFrameAge after it was made, when all frames sent before it are too old. The
+// record of a started request is also kept past its deadline, after which its
+// entry sends no further attempt.
 //
-// A ledger that is full drops nothing early. It refuses every frame sent up to
-// now instead, which takes no memory at all.
+// A full ledger evicts no record early. Instead it rejects every frame sent up
+// to now, which takes no memory.
 type ledger struct {
-	maxAge time.Duration
-	size   int
-	// reserved is the room kept for the requests that have no outcome yet.
+	maxFrameAge time.Duration
+	maxRecords  int
+	// reserved is the number of records set aside for active requests.
 	reserved int
 	records  map[key]*record
 	expiry   expiryHeap
-	// floor refuses each Start that was sent up to it.
-	floor time.Time
-	// forgotten is the latest arrival of a started request whose record was
-	// dropped.
-	forgotten time.Time
+	// rejectSentUntil is the time up to which sent Starts are rejected.
+	rejectSentUntil time.Time
+	// forgottenUntil is the latest recordedAt among the removed records of
+	// started requests.
+	forgottenUntil time.Time
 
-	// kept lists the records with an answer, the oldest first.
-	kept      *list.List
-	keptBytes int
-	maxBytes  int
+	// withAnswer lists the records with a cached answer, oldest first.
+	withAnswer     *list.List
+	answerBytes    int
+	maxAnswerBytes int
 }
 
-// record is what became of a request.
+// record is the outcome of a request.
 type record struct {
 	key key
-	// attempts: no attempt up to this one starts any more.
-	attempts uint32
-	// verdict is NotRun for a request that never started.
+	// maxAttempt is the highest attempt that must not start.
+	maxAttempt uint32
+	// verdict is NotRun if the request never started.
 	verdict    verdict.Verdict
 	idempotent bool
-	arrived    time.Time
-	until      time.Time
-	index      int
+	recordedAt time.Time
+	expiresAt  time.Time
+	heapIndex  int
 
-	print      uint64
-	resumeFrom uint32
-	chunks     []*wire.Chunk
-	final      *wire.Final
-	bytes      int
-	place      *list.Element
+	fingerprint uint64
+	resumeFrom  uint32
+	chunks      []*wire.Chunk
+	final       *wire.Final
+	answerBytes int
+	element     *list.Element
 }
 
-// allAttempts is the attempts of a record that lets none start.
+// allAttempts is the maxAttempt of a record that blocks every attempt.
 const allAttempts = ^uint32(0)
 
-func newLedger(size, maxBytes int, maxAge time.Duration) *ledger {
+func newLedger(maxRecords, maxAnswerBytes int, maxFrameAge time.Duration) *ledger {
 	return &ledger{
-		maxAge:   maxAge,
-		size:     size,
-		records:  map[key]*record{},
-		kept:     list.New(),
-		maxBytes: maxBytes,
+		maxFrameAge:    maxFrameAge,
+		maxRecords:     maxRecords,
+		records:        map[key]*record{},
+		withAnswer:     list.New(),
+		maxAnswerBytes: maxAnswerBytes,
 	}
 }
 
-// full reports whether there is no room for another record.
-func (l *ledger) full() bool { return len(l.records)+l.reserved >= l.size }
+// full reports whether there is no space for another record.
+func (l *ledger) full() bool { return len(l.records)+l.reserved >= l.maxRecords }
 
-// late reports whether a Start of that age is refused unseen.
-func (l *ledger) late(now time.Time, age time.Duration) bool {
+// tooOld reports whether a Start of that age is rejected without further checks.
+func (l *ledger) tooOld(now time.Time, age time.Duration) bool {
 	if age == AgeUnknown {
-		return !l.floor.IsZero() && now.Before(l.floor.Add(l.maxAge))
+		return !l.rejectSentUntil.IsZero() && now.Before(l.rejectSentUntil.Add(l.maxFrameAge))
 	}
-	return age >= l.maxAge || !now.Add(-age).After(l.floor)
+	return age >= l.maxFrameAge || !now.Add(-age).After(l.rejectSentUntil)
 }
 
-// hasForgotten reports whether a Start of that age may have run and been
-// forgotten.
-func (l *ledger) hasForgotten(now time.Time, age time.Duration) bool {
-	if age == AgeUnknown || l.forgotten.IsZero() {
+// mayHaveForgotten reports whether a Start of that age may have run and its
+// record been removed.
+func (l *ledger) mayHaveForgotten(now time.Time, age time.Duration) bool {
+	if age == AgeUnknown || l.forgottenUntil.IsZero() {
 		return false
 	}
-	return !now.Add(-age).After(l.forgotten)
+	return !now.Add(-age).After(l.forgottenUntil)
 }
 
-// hasForgottenAny reports whether any request that ran may have been forgotten.
-func (l *ledger) hasForgottenAny() bool { return !l.forgotten.IsZero() }
+// hasForgottenAny reports whether the record of any started request was removed.
+func (l *ledger) hasForgottenAny() bool { return !l.forgottenUntil.IsZero() }
 
-// refuse records that no attempt up to the one given starts any more.
-func (l *ledger) refuse(now time.Time, k key, attempts uint32) {
+// recordNotRun records that no attempt up to the given one may start.
+func (l *ledger) recordNotRun(now time.Time, k key, maxAttempt uint32) {
 	if r, ok := l.records[k]; ok {
-		r.attempts = max(r.attempts, attempts)
-		l.keepUntil(r, now.Add(l.maxAge))
+		r.maxAttempt = max(r.maxAttempt, maxAttempt)
+		l.extend(r, now.Add(l.maxFrameAge))
 		return
 	}
 	if l.full() {
 		ledgerFull.Inc(1)
-		l.floor = now
+		l.rejectSentUntil = now
 		return
 	}
-	l.add(&record{key: k, attempts: attempts, until: now.Add(l.maxAge)})
+	l.add(&record{key: k, maxAttempt: maxAttempt, expiresAt: now.Add(l.maxFrameAge)})
 }
 
-// close records the outcome of a request that started.
-func (l *ledger) close(now time.Time, r *request, v verdict.Verdict) *record {
+// recordStarted records the outcome of a request that started or may have.
+func (l *ledger) recordStarted(now time.Time, r *request, v verdict.Verdict) *record {
 	until := r.deadline
 	if now.After(until) {
 		until = now
 	}
-	attempts := r.attempt
-	if before, ok := l.records[r.key]; ok {
-		attempts = max(attempts, before.attempts)
-		l.drop(before)
+	maxAttempt := r.attempt
+	if previous, ok := l.records[r.key]; ok {
+		maxAttempt = max(maxAttempt, previous.maxAttempt)
+		l.remove(previous)
 	}
 	rec := &record{
-		key:        r.key,
-		attempts:   attempts,
-		verdict:    v,
-		idempotent: r.idempotent(),
-		arrived:    now,
-		until:      until.Add(2 * l.maxAge),
-		print:      r.print,
-		resumeFrom: r.start.GetGenerate().GetResumeFrom(),
+		key:         r.key,
+		maxAttempt:  maxAttempt,
+		verdict:     v,
+		idempotent:  r.idempotent(),
+		recordedAt:  now,
+		expiresAt:   until.Add(2 * l.maxFrameAge),
+		fingerprint: r.fingerprint,
+		resumeFrom:  r.start.GetGenerate().GetResumeFrom(),
 	}
 	l.add(rec)
 	return rec
 }
 
 func (l *ledger) add(r *record) {
-	invariant.Check(len(l.records) < l.size, "bounded ledger",
-		"%d records, at most %d may be", len(l.records), l.size)
+	invariant.Check(len(l.records) < l.maxRecords, "bounded ledger",
+		"%d records, limit %d", len(l.records), l.maxRecords)
 	l.records[r.key] = r
 	heap.Push(&l.expiry, r)
 }
 
-// keepUntil keeps r at least until the time given.
-func (l *ledger) keepUntil(r *record, until time.Time) {
-	if until.After(r.until) {
-		r.until = until
-		heap.Fix(&l.expiry, r.index)
+// extend keeps r at least until the given time.
+func (l *ledger) extend(r *record, until time.Time) {
+	if until.After(r.expiresAt) {
+		r.expiresAt = until
+		heap.Fix(&l.expiry, r.heapIndex)
 	}
 }
 
-// keep adds the whole answer to r and drops the oldest answers beyond the
-// bound. A dropped answer leaves its record: "ran" stays true.
-func (l *ledger) keep(r *record, a answer, f *wire.Final) {
-	if a.dropped || a.bytes > l.maxBytes {
+// cacheAnswer adds the complete answer to r and evicts the oldest answers beyond
+// the limit. Eviction keeps the record itself, and with it the verdict.
+func (l *ledger) cacheAnswer(r *record, a answer, f *wire.Final) {
+	if a.dropped || a.bytes > l.maxAnswerBytes {
 		return
 	}
-	r.chunks, r.final, r.bytes = a.chunks, f, a.bytes
-	r.place = l.kept.PushBack(r)
-	l.keptBytes += r.bytes
-	l.shrink(l.maxBytes)
+	r.chunks, r.final, r.answerBytes = a.chunks, f, a.bytes
+	r.element = l.withAnswer.PushBack(r)
+	l.answerBytes += r.answerBytes
+	l.evictAnswers(l.maxAnswerBytes)
 }
 
-// shrink drops the oldest answers until the rest fits into limit.
-func (l *ledger) shrink(limit int) {
-	for l.keptBytes > limit && l.kept.Len() > 0 {
-		keptDropped.Inc(1)
-		l.dropAnswer(l.kept.Front().Value.(*record))
+// evictAnswers evicts the oldest answers until the rest fits into limit.
+func (l *ledger) evictAnswers(limit int) {
+	for l.answerBytes > limit && l.withAnswer.Len() > 0 {
+		answersEvicted.Inc(1)
+		l.dropAnswer(l.withAnswer.Front().Value.(*record))
 	}
 }
 
 func (l *ledger) dropAnswer(r *record) {
-	if r.place == nil {
+	if r.element == nil {
 		return
 	}
-	l.kept.Remove(r.place)
-	l.keptBytes -= r.bytes
-	r.chunks, r.final, r.bytes, r.place = nil, nil, 0, nil
+	l.withAnswer.Remove(r.element)
+	l.answerBytes -= r.answerBytes
+	r.chunks, r.final, r.answerBytes, r.element = nil, nil, 0, nil
 }
 
-func (l *ledger) drop(r *record) {
+func (l *ledger) remove(r *record) {
 	l.dropAnswer(r)
-	heap.Remove(&l.expiry, r.index)
+	heap.Remove(&l.expiry, r.heapIndex)
 	delete(l.records, r.key)
 }
 
-// expire drops the records whose time has passed.
+// expire removes expired records.
 func (l *ledger) expire(now time.Time) {
-	for len(l.expiry) > 0 && !now.Before(l.expiry[0].until) {
+	for len(l.expiry) > 0 && !now.Before(l.expiry[0].expiresAt) {
 		r := l.expiry[0]
-		if r.verdict != verdict.NotRun && r.arrived.After(l.forgotten) {
-			l.forgotten = r.arrived
+		if r.verdict != verdict.NotRun && r.recordedAt.After(l.forgottenUntil) {
+			l.forgottenUntil = r.recordedAt
 		}
-		l.drop(r)
+		l.remove(r)
 	}
 }
 
-// expiryHeap orders records by until.
+// expiryHeap orders records by expiry time.
 type expiryHeap []*record
 
 func (h expiryHeap) Len() int           { return len(h) }
-func (h expiryHeap) Less(i, j int) bool { return h[i].until.Before(h[j].until) }
+func (h expiryHeap) Less(i, j int) bool { return h[i].expiresAt.Before(h[j].expiresAt) }
 
 func (h expiryHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].index, h[j].index = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
 func (h *expiryHeap) Push(x any) {
 	r := x.(*record)
-	r.index = len(*h)
+	r.heapIndex = len(*h)
 	*h = append(*h, r)
 }
 
--- a/internal/sidecar/requests/lifecycle.go
+++ b/internal/sidecar/requests/lifecycle.go
@@ -10,69 +10,70 @@
 	"pistachioroad.dev/pistachioroad/internal/wire"
 )
 
-func (t *Table) enlist(r *request) {
+func (t *Table) track(r *request) {
 	r.serial = t.nextSerial()
-	t.live[r.key] = r
-	t.items[r.key.item()] = r
-	t.ledger.reserved = len(t.live)
+	t.active[r.key] = r
+	t.byItemID[r.key.queueItemID()] = r
+	t.ledger.reserved = len(t.active)
 }
 
-// forget removes r from what has no outcome. Its outcome is recorded next.
-func (t *Table) forget(r *request) {
+// untrack removes r from the active requests. The caller records its outcome.
+func (t *Table) untrack(r *request) {
 	t.unsubscribe(r)
-	delete(t.live, r.key)
-	delete(t.items, r.key.item())
-	delete(t.runs, r.run)
-	delete(t.claims, r.claim)
-	t.ledger.reserved = len(t.live)
+	delete(t.active, r.key)
+	delete(t.byItemID, r.key.queueItemID())
+	delete(t.byRun, r.run)
+	delete(t.byClaim, r.claim)
+	t.ledger.reserved = len(t.active)
 }
 
 func (t *Table) subscribe(r *request, stream Stream, attempt uint32) {
 	r.attempt = max(r.attempt, attempt)
-	r.stream = &subscriber{stream: stream, attempt: attempt, digest: wire.NewDigest()}
-	t.streams[stream] = r
+	r.subscriber = &subscriber{stream: stream, attempt: attempt, digest: wire.NewDigest()}
+	t.byStream[stream] = r
 }
 
 func (t *Table) unsubscribe(r *request) {
-	if r.stream != nil {
-		delete(t.streams, r.stream.stream)
+	if r.subscriber != nil {
+		delete(t.byStream, r.subscriber.stream)
 	}
-	r.stream = nil
+	r.subscriber = nil
 }
 
-// retire records the outcome of r, which ran or was to run.
-func (t *Table) retire(now time.Time, r *request, v verdict.Verdict) *record {
-	t.forget(r)
-	count(v)
+// recordOutcome ends r's activity and records its outcome. The record is nil for
+// NotRun.
+func (t *Table) recordOutcome(now time.Time, r *request, v verdict.Verdict) *record {
+	t.untrack(r)
+	countOutcome(v)
 	if v != verdict.NotRun {
-		return t.ledger.close(now, r, v)
+		return t.ledger.recordStarted(now, r, v)
 	}
-	t.ledger.refuse(now, r.key, r.attempt)
+	t.ledger.recordNotRun(now, r.key, r.attempt)
 	return nil
 }
 
-// endUnstarted refuses a request that waits. It never starts.
-func (t *Table) endUnstarted(now time.Time, r *request, refusal *verdict.Error) {
-	invariant.Check(r.phase != running, "not run is true", "request %s runs", r.key.name())
-	t.queue.Remove(r.key.item())
-	t.settle(r, verdict.NotRun, nil)
-	t.note(r, "refused", refusal.Error())
-	stream := r.stream
-	t.retire(now, r, verdict.NotRun)
-	if stream != nil {
-		t.sendRefusal(stream.stream, r.key, stream.attempt, t.atWorst(r.key, refusal))
+// rejectWaiting rejects a request that has not started and now never will.
+func (t *Table) rejectWaiting(now time.Time, r *request, refusal *verdict.Error) {
+	invariant.Check(r.phase != running, "not run is true", "request %s is rejected while running", r.key.requestID())
+	t.queue.Remove(r.key.queueItemID())
+	t.settleClaim(r, verdict.NotRun, nil)
+	t.logDecision(r, "refused", refusal.Error())
+	sub := r.subscriber
+	t.recordOutcome(now, r, verdict.NotRun)
+	if sub != nil {
+		t.sendRefusal(sub.stream, r.key, sub.attempt, t.withWorstVerdict(r.key, refusal))
 	}
 }
 
-// atWorst returns the refusal with the verdict over all attempts of a request
-// that this sidecar knows of.
-func (t *Table) atWorst(k key, refusal *verdict.Error) *verdict.Error {
+// withWorstVerdict returns the refusal with the worst verdict over all attempts
+// of the request that this sidecar has a record of.
+func (t *Table) withWorstVerdict(k key, refusal *verdict.Error) *verdict.Error {
 	if rec, ok := t.ledger.records[k]; ok {
 		refusal.Verdict = verdict.Worst(refusal.Verdict, rec.verdict)
 	}
 	return refusal
 }
 
-func count(v verdict.Verdict) {
+func countOutcome(v verdict.Verdict) {
 	metrics.GetOrRegisterCounter("requests.outcome."+v.String(), nil).Inc(1)
 }
--- a/internal/sidecar/requests/load.go
+++ b/internal/sidecar/requests/load.go
@@ -15,21 +15,21 @@
 }
 
 func (t *Table) prefillRate() float64 {
-	return cmp.Or(t.engine.Load.PrefillRate, t.meter.prefillRate)
+	return cmp.Or(t.engine.Load.PrefillRate, t.rates.prefillRate)
 }
 
-// Load returns the backend server's account of its work: what runs and waits
-// by the table's own exact counts, the rest as last reported by the engine.
+// Load returns the load of the backend server: running and waiting requests from
+// the table's own exact counts, the rest as last reported by the engine.
 func (t *Table) Load() *wire.Load {
 	load := &wire.Load{
-		Running:      uint32(len(t.runs)),
+		Running:      uint32(len(t.byRun)),
 		Queued:       uint32(t.waiting()),
 		Slots:        uint32(t.cfg.Slots),
 		QueuedTokens: uint64(t.queue.QueuedTokens()),
-		KvPiecesUsed: uint32(t.piecesUsed()),
+		KvPiecesUsed: uint32(t.usedKVBlocks()),
 		KvPieces:     uint32(t.engine.Load.KVBlocks),
 		PrefillRate:  t.prefillRate(),
-		DecodeRate:   cmp.Or(t.engine.Load.DecodeRate, t.meter.decodeRate),
+		DecodeRate:   cmp.Or(t.engine.Load.DecodeRate, t.rates.decodeRate),
 		Role:         string(t.engine.State.Applied.Role),
 		Models:       servedModels(t.engine.State.Applied),
 		Admitting:    t.Admitting() && !t.suspect,
@@ -37,11 +37,11 @@
 		Weights:      t.engine.State.Applied.Weights,
 		Adapters:     t.engine.State.Applied.Adapters,
 
-		ServiceMs: float64(t.meter.service) / float64(time.Millisecond),
+		ServiceMs: float64(t.rates.callTime) / float64(time.Millisecond),
 	}
-	for _, r := range t.runs {
-		load.RunningTokens += uint64(r.outputLeft())
-		if !r.answer.begun {
+	for _, r := range t.byRun {
+		load.RunningTokens += uint64(r.remainingOutput())
+		if !r.answer.hasOutput {
 			load.QueuedTokens += uint64(promptTokens(r.start))
 		}
 	}
@@ -55,31 +55,31 @@
 	return []string{o.Model}
 }
 
-// waiting counts what waits for a claim or a slot.
-func (t *Table) waiting() int { return len(t.live) - len(t.runs) }
+// waiting returns the number of requests waiting for a claim or a slot.
+func (t *Table) waiting() int { return len(t.active) - len(t.byRun) }
 
-// room is what the engine can take now. The engine's own report of its cache
-// lags and counts what it would evict for new work, so the table adds up what
-// it has started itself.
-func (t *Table) room() (slots, pieces int) {
-	slots = t.cfg.Slots - len(t.runs)
+// freeCapacity returns the slots and KV blocks available for new runs. The
+// engine's own cache report lags and counts blocks that it would evict for new
+// work, so the table sums up the runs that it has started.
+func (t *Table) freeCapacity() (slots, blocks int) {
+	slots = t.cfg.Slots - len(t.byRun)
 	total := t.engine.Load.KVBlocks
 	if total == 0 {
 		return slots, math.MaxInt
 	}
-	return slots, total - t.piecesUsed()
+	return slots, total - t.usedKVBlocks()
 }
 
-func (t *Table) piecesUsed() int {
+func (t *Table) usedKVBlocks() int {
 	used := 0
-	for _, r := range t.runs {
-		used += pieces(r.start)
+	for _, r := range t.byRun {
+		used += kvBlocks(r.start)
 	}
 	return used
 }
 
-// pieces returns the KV cache pieces of a request at its end.
-func pieces(s *wire.Start) int {
+// kvBlocks returns the KV blocks that a request occupies once it completes.
+func kvBlocks(s *wire.Start) int {
 	tokens := promptTokens(s) + outputTokens(s)
 	return (tokens + engine.KVBlockTokens - 1) / engine.KVBlockTokens
 }
--- a/internal/sidecar/requests/random_test.go
+++ b/internal/sidecar/requests/random_test.go
@@ -25,10 +25,10 @@
 	os.Exit(seeded.Run(m, seeded.Rapid{Checks: 2000, Steps: 100}))
 }
 
-// Frames come twice, late and in any order, processes pause, links and engines
-// break, callers give up, and entries ask for outcomes, in any mixture. A caller
-// would notice a hold that was reported as not placed, a hold placed twice, a
-// part of an answer, or no word at all.
+// TestRandomFaults combines duplicated, late and reordered frames, paused
+// processes, failing links and engines, cancellations and Resolves at random.
+// Guards against a call that runs after it was reported as not run, a call that
+// runs twice, a truncated answer, and a stream without a last frame.
 func TestRandomFaults(t *testing.T) {
 	seen := map[string]int{}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -40,7 +40,7 @@
 			"resolve":       w.resolve,
 			"cancel":        w.cancel,
 			"lose link":     w.loseLink,
-			"piece":         w.piece,
+			"piece":         w.chunk,
 			"end":           w.end,
 			"answer claim":  w.answerClaim,
 			"pass time":     w.passTime,
@@ -63,7 +63,8 @@
 	t.Logf("%v", seen)
 }
 
-// world is all around one table, with a reference of what ran.
+// world simulates the environment of one table, with a reference model of what
+// ran.
 type world struct {
 	t     *rapid.T
 	seen  map[string]int
@@ -79,13 +80,13 @@
 	slots    int
 }
 
-// request is one request as its entry sees it, and what became of it.
+// request is one request from its entry's view, with the reference outcome.
 type request struct {
 	id       uuid.UUID
 	kind     string
 	deadline time.Time
 	attempts uint32
-	// started holds the attempts that ran; refused those told "not run".
+	// started holds the attempts that ran, refused those reported as "not run".
 	started map[uint32]bool
 	refused map[uint32]bool
 	runs    int
@@ -99,7 +100,7 @@
 	copies  int
 }
 
-// stream collects what is sent on one stream.
+// stream records what was sent on one stream.
 type stream struct {
 	request *request
 	attempt uint32
@@ -132,22 +133,22 @@
 		QueueLength:    rapid.IntRange(1, 4).Draw(t, "queue"),
 		MaxAnswerBytes: rapid.IntRange(200, 3000).Draw(t, "result bytes"),
 		ResumeWait:     3 * time.Second,
-		Records:        rapid.IntRange(2, 20).Draw(t, "records"),
+		MaxRecords:     rapid.IntRange(2, 20).Draw(t, "records"),
 		ModelEngine:    true,
 	}, rand.New(rand.NewPCG(1, 2)))
 	w.step(requests.Admit{})
 	return w
 }
 
-// send puts a Start under way: a new request, or a further attempt.
+// send puts a Start in transit: a new request or a further attempt.
 func (w *world) send(t *rapid.T) {
 	r := w.pickRequest(t)
-	left := r.deadline.Sub(w.now)
-	if left <= 0 {
-		t.Skip("past its deadline")
+	remaining := r.deadline.Sub(w.now)
+	if remaining <= 0 {
+		t.Skip("deadline has passed")
 	}
 	r.attempts++
-	start := r.frame(r.attempts, left)
+	start := r.frame(r.attempts, remaining)
 	if g := start.GetGenerate(); g != nil && r.attempts > 1 {
 		g.ResumeFrom = uint32(rapid.IntRange(0, 3).Draw(t, "resume from"))
 	}
@@ -172,25 +173,25 @@
 
 func (r *request) idempotent() bool { return r.kind == "draft" || r.kind == "lookup" }
 
-func (r *request) frame(attempt uint32, left time.Duration) *wire.Start {
+func (r *request) frame(attempt uint32, remaining time.Duration) *wire.Start {
 	s := call(r.id)
 	switch r.kind {
 	case "draft":
-		s = draft(r.id)
+		s = generation(r.id)
 	case "keyed":
 		s = keyedCall(r.id)
 	case "lookup":
 		s.Idempotent = true
 	}
 	s.Attempt = attempt
-	s.BudgetUs = left.Microseconds()
+	s.BudgetUs = remaining.Microseconds()
 	return s
 }
 
-// deliver lets a frame arrive: in any order, again, or hours late.
+// deliver delivers a frame in transit: in any order, repeatedly or late.
 func (w *world) deliver(t *rapid.T) {
 	if len(w.frames) == 0 {
-		t.Skip("nothing under way")
+		t.Skip("no frame in transit")
 	}
 	f := rapid.SampledFrom(w.frames).Draw(t, "frame")
 	f.copies++
@@ -213,7 +214,7 @@
 
 func (w *world) resolve(t *rapid.T) {
 	if len(w.frames) == 0 {
-		t.Skip("nothing sent")
+		t.Skip("no frame sent")
 	}
 	f := rapid.SampledFrom(w.frames).Draw(t, "about")
 	ask := &wire.Resolve{RequestId: f.request.id[:]}
@@ -251,21 +252,21 @@
 	return requests.Stream(rapid.Uint64Range(1, uint64(w.next)).Draw(t, "stream"))
 }
 
-func (w *world) piece(t *rapid.T) {
+func (w *world) chunk(t *rapid.T) {
 	id := w.anyRun(t)
 	r := w.runs[id]
 	if r.position >= 8 || r.request.kind != "draft" {
-		t.Skip("no more to say")
+		t.Skip("answer is complete")
 	}
 	data := r.request.word(r.position)
 	r.position++
 	w.step(requests.ChunkReceived{Run: id, Data: []byte(data), Tokens: 1})
 }
 
-// word is the token of r's answer at position i; no other answer has it.
+// word returns the token of r's answer at position i, unique to this answer.
 func (r *request) word(i int) string { return fmt.Sprintf("%s.%d ", r.id.String()[:4], i) }
 
-func (r *request) whole(from int) string {
+func (r *request) fullAnswer(from int) string {
 	if r.kind != "draft" {
 		return r.word(0)
 	}
@@ -278,13 +279,13 @@
 
 func (w *world) anyRun(t *rapid.T) requests.RunID {
 	if len(w.runs) == 0 {
-		t.Skip("nothing runs")
+		t.Skip("no runs")
 	}
 	ids := sortedKeys(w.runs)
 	return rapid.SampledFrom(ids).Draw(t, "run")
 }
 
-// end lets a run end well, refuse, break off, or follow its cancellation.
+// end finishes a run: with an answer, a rejection or an engine failure.
 func (w *world) end(t *rapid.T) {
 	id := w.anyRun(t)
 	w.finish(id, rapid.IntRange(0, 5).Draw(t, "how"))
@@ -298,7 +299,7 @@
 		w.seen["engine failure"]++
 		w.step(requests.RunFinished{Run: id, Err: verdict.New(verdict.MayHaveRun, verdict.CodeAnswerBroken, "crash")})
 	case how == 1 && r.position == int(r.start.GetGenerate().GetResumeFrom()):
-		// The engine never took it.
+		// The engine rejected the request before running it.
 		delete(r.request.started, r.start.GetAttempt())
 		r.request.runs--
 		w.step(requests.RunFinished{Run: id, Err: verdict.New(verdict.NotRun, verdict.CodeBackendFailed, "refused")})
@@ -333,7 +334,7 @@
 		answer.Chunks = []*wire.Chunk{{Data: []byte(r.word(0))}}
 		answer.Final = &wire.Final{Status: 201}
 	case 2:
-		// A key is granted once.
+		// A key is granted at most once.
 		answer.Granted = r.runs == 0 && len(r.granted) == 0
 	}
 	if answer.Granted {
@@ -350,9 +351,9 @@
 	w.step(requests.Tick{})
 }
 
-// pause lets time pass without a tick, as for a process that was stopped.
+// pause advances time without a tick, as for a stopped process.
 func (w *world) pause(t *rapid.T) {
-	w.seldom(t)
+	w.skipMostly(t)
 	w.seen["pause"]++
 	w.now = w.now.Add(time.Duration(rapid.IntRange(1, 120).Draw(t, "seconds")) * time.Second)
 }
@@ -369,24 +370,24 @@
 }
 
 func (w *world) recoverTable(t *rapid.T) {
-	w.seldom(t)
+	w.skipMostly(t)
 	w.seen["recover"]++
 	next, effects := w.table.Recover(w.now)
 	w.table = next
 	w.take(effects)
 }
 
-// seldom leaves out most of the faults that end all that is under way: a run
-// full of them gets nowhere.
-func (w *world) seldom(t *rapid.T) {
+// skipMostly skips most of the faults that reject or detach all active requests:
+// otherwise few requests would make progress.
+func (w *world) skipMostly(t *rapid.T) {
 	if rapid.IntRange(0, 7).Draw(t, "seldom") != 0 {
-		t.Skip("not now")
+		t.Skip("rare fault skipped")
 	}
 }
 
 func (w *world) reportEngine(t *rapid.T) {
-	pieces := rapid.SampledFrom([]int{0, 1, 4}).Draw(t, "pieces")
-	w.step(requests.EngineReport{Load: engine.Load{KVBlocks: pieces}})
+	blocks := rapid.SampledFrom([]int{0, 1, 4}).Draw(t, "pieces")
+	w.step(requests.EngineReport{Load: engine.Load{KVBlocks: blocks}})
 }
 
 func (w *world) step(e requests.Event) { w.take(w.table.Step(w.now, e)) }
@@ -402,10 +403,10 @@
 			w.seen["stopped"]++
 			w.runs[e.Run].stopped = true
 		case requests.Claim:
-			w.claims[e.Claim] = w.byID(e.Key, e.Claim)
+			w.claims[e.Claim] = w.requestOfClaim(e.Key, e.Claim)
 		case requests.SettleClaim:
 			w.settled(e)
-		case requests.Note:
+		case requests.LogDecision:
 			if e.Decision == "attached" {
 				w.seen["attached"]++
 			}
@@ -413,18 +414,18 @@
 	}
 }
 
-// byID finds the request of a claim: the one whose frame was delivered last.
-func (w *world) byID(string, requests.ClaimID) *request { return w.streams[w.next].request }
+// requestOfClaim returns the request of a claim: the one whose frame was delivered last.
+func (w *world) requestOfClaim(string, requests.ClaimID) *request { return w.streams[w.next].request }
 
-// started checks a run against the reference before it counts.
+// started checks a new run against the reference model and records it.
 func (w *world) started(e requests.Run) {
 	r := w.find(e.Start)
 	attempt := e.Start.GetAttempt()
 	if !w.now.Before(r.deadline) {
-		w.t.Fatalf("request %s starts %s past its deadline", r.id, w.now.Sub(r.deadline))
+		w.t.Fatalf("request %s starts %s after its deadline", r.id, w.now.Sub(r.deadline))
 	}
 	if r.refused[attempt] {
-		w.t.Fatalf("request %s: attempt %d starts after it was told not run", r.id, attempt)
+		w.t.Fatalf("request %s: attempt %d starts after it was reported as not run", r.id, attempt)
 	}
 	if r.started[attempt] || (r.runs > 0 && !r.idempotent()) {
 		w.t.Fatalf("request %s runs twice", r.id)
@@ -449,13 +450,13 @@
 func (w *world) settled(e requests.SettleClaim) {
 	for _, r := range w.requests {
 		if r.granted[e.Claim] && e.Verdict == verdict.NotRun && r.runs > 0 {
-			w.t.Fatalf("request %s ran and its key is free again", r.id)
+			w.t.Fatalf("request %s ran and its key was released", r.id)
 		}
 		delete(r.granted, e.Claim)
 	}
 }
 
-// sent checks a frame that the entry receives.
+// sent checks a frame sent to the entry.
 func (w *world) sent(e requests.Send) {
 	s := w.streams[e.Stream]
 	if s.last {
@@ -467,7 +468,7 @@
 		s.digest.Add(body.Chunk)
 		s.text.Write(body.Chunk.GetData())
 	case *wire.Frame_Final:
-		w.whole(s, body.Final, s.text.String(), s.digest)
+		w.checkFinal(s, body.Final, s.text.String(), s.digest)
 	case *wire.Frame_Refusal:
 		w.refused(s, body.Refusal)
 	case *wire.Frame_Resolution:
@@ -475,9 +476,9 @@
 	}
 }
 
-func (w *world) whole(s *stream, final *wire.Final, text string, digest *wire.Digest) {
-	if !digest.Matches(final) || text != s.request.whole(s.from) {
-		w.t.Fatalf("request %s: %q passes for a whole answer", s.request.id, text)
+func (w *world) checkFinal(s *stream, final *wire.Final, text string, digest *wire.Digest) {
+	if !digest.Matches(final) || text != s.request.fullAnswer(s.from) {
+		w.t.Fatalf("request %s: %q was sent as its complete answer", s.request.id, text)
 	}
 	w.seen["whole answer"]++
 	if s.attempt != final.GetAttempt() {
@@ -494,7 +495,7 @@
 		return
 	}
 	if s.request.started[s.attempt] {
-		w.t.Fatalf("request %s: attempt %d ran and is called not run", s.request.id, s.attempt)
+		w.t.Fatalf("request %s: attempt %d ran and was reported as not run", s.request.id, s.attempt)
 	}
 	s.request.refused[s.attempt] = true
 }
@@ -510,11 +511,11 @@
 			s.request.refused[attempt] = true
 		}
 	case wire.Outcome_OUTCOME_RAN:
-		w.keptAnswer(s, r)
+		w.checkCachedAnswer(s, r)
 	}
 }
 
-func (w *world) keptAnswer(s *stream, r *wire.Resolution) {
+func (w *world) checkCachedAnswer(s *stream, r *wire.Resolution) {
 	if r.GetFinal() == nil {
 		return
 	}
@@ -524,18 +525,18 @@
 		digest.Add(c)
 		text += string(c.GetData())
 	}
-	if !digest.Matches(r.GetFinal()) || !strings.HasSuffix(s.request.whole(0), text) {
-		w.t.Fatalf("request %s: %q is kept as its answer", s.request.id, text)
+	if !digest.Matches(r.GetFinal()) || !strings.HasSuffix(s.request.fullAnswer(0), text) {
+		w.t.Fatalf("request %s: %q was cached as its complete answer", s.request.id, text)
 	}
 }
 
 func (w *world) check(*rapid.T) {
 	if len(w.runs) > w.slots {
-		w.t.Fatalf("%d run in %d slots", len(w.runs), w.slots)
+		w.t.Fatalf("%d requests run in %d slots", len(w.runs), w.slots)
 	}
 }
 
-// quiesce ends all that runs and checks that every stream got its last word.
+// quiesce finishes all runs and checks that every stream got a last frame.
 func (w *world) quiesce() {
 	for len(w.runs)+len(w.claims) > 0 {
 		for _, id := range sortedKeys(w.claims) {
@@ -550,11 +551,11 @@
 	w.now = w.now.Add(2 * time.Minute)
 	w.step(requests.Tick{})
 	if w.table.Active() != 0 {
-		w.t.Fatalf("%d requests are left", w.table.Active())
+		w.t.Fatalf("%d requests are still active", w.table.Active())
 	}
 	for number, s := range w.streams {
 		if !s.last && !s.gone {
-			w.t.Fatalf("stream %d: request %s got no word", number, s.request.id)
+			w.t.Fatalf("stream %d: request %s got no last frame", number, s.request.id)
 		}
 	}
 }
--- a/internal/sidecar/requests/recover.go
+++ b/internal/sidecar/requests/recover.go
@@ -6,76 +6,77 @@
 	"pistachioroad.dev/pistachioroad/internal/verdict"
 )
 
-// Recover returns the Table that goes on after Step panicked, and the answers
-// to all that the old one knew of. The old Table must not be used any more.
+// Recover returns the Table that replaces this one after Step panicked, with the
+// effects that answer all active requests. The old Table must not be used again.
 //
-// A duty that restarts with an empty table would leave its callers waiting for
-// their whole deadlines, forget what it told them, and start as many runs again
-// as still go on. So what waited is refused and remembered, and what runs keeps
-// its slot and its record; its stream is told that it may have run.
+// With an empty table, callers would wait until their deadlines, attempts
+// reported as "not run" could start, and new runs would exceed the slots while
+// old ones continue. So waiting requests are rejected and recorded, and runs keep
+// their slots; their streams get a refusal with the verdict MayHaveRun.
 func (t *Table) Recover(now time.Time) (*Table, []Effect) {
 	next := New(t.cfg, t.rng)
-	next.serial = t.serial
-	next.closed = t.closed
+	next.lastSerial = t.lastSerial
+	next.closedReason = t.closedReason
 	next.suspect = t.suspect
 	next.engine = t.engine
-	next.meter = t.meter
+	next.rates = t.rates
 	next.ledger = t.ledger
 	next.ledger.reserved = 0
-	begun := next.salvage(t)
-	for _, r := range t.inOrder() {
-		next.adopt(now, r, begun)
+	notStarted := next.takeOverEffects(t)
+	for _, r := range t.activeBySerial() {
+		next.adopt(now, r, notStarted)
 	}
-	if e, ok := t.handling.(RunFinished); ok {
-		next.lostEnd(now, e.Run)
+	if e, ok := t.currentEvent.(RunFinished); ok {
+		next.finishLostRun(now, e.Run)
 	}
 	return next, next.effects
 }
 
-// salvage takes over the effects of the Step that did not return, but for what
-// it was about to begin, which it returns.
-func (t *Table) salvage(old *Table) map[RunID]bool {
-	begun := map[RunID]bool{}
-	if old.handling == nil {
-		return begun
+// takeOverEffects emits the effects of the Step that panicked, except runs and
+// claims, which are not started. It returns those runs.
+func (t *Table) takeOverEffects(old *Table) map[RunID]bool {
+	notStarted := map[RunID]bool{}
+	if old.currentEvent == nil {
+		return notStarted
 	}
 	for _, e := range old.effects {
 		switch e := e.(type) {
 		case Run:
-			begun[e.Run] = true
+			notStarted[e.Run] = true
 		case Claim:
 		default:
 			t.emit(e)
 		}
 	}
-	return begun
+	return notStarted
 }
 
-func (t *Table) adopt(now time.Time, r *request, begun map[RunID]bool) {
-	t.live[r.key] = r
-	t.items[r.key.item()] = r
-	t.ledger.reserved = len(t.live)
-	if r.stream != nil {
-		t.streams[r.stream.stream] = r
+func (t *Table) adopt(now time.Time, r *request, notStarted map[RunID]bool) {
+	t.active[r.key] = r
+	t.byItemID[r.key.queueItemID()] = r
+	t.ledger.reserved = len(t.active)
+	if r.subscriber != nil {
+		t.byStream[r.subscriber.stream] = r
 	}
-	if r.phase != running || begun[r.run] {
+	if r.phase != running || notStarted[r.run] {
 		r.phase = queued
-		t.endUnstarted(now, r, verdict.NewRejection(verdict.CodeInternal, recovering, DefaultRetryAfter))
+		t.rejectWaiting(now, r, verdict.NewRejection(verdict.CodeInternal, recoveringMessage, DefaultRetryAfter))
 		return
 	}
-	t.runs[r.run] = r
-	t.dismiss(now, r, verdict.New(verdict.MayHaveRun, verdict.CodeInternal, recovering))
+	t.byRun[r.run] = r
+	t.detach(now, r, verdict.New(verdict.MayHaveRun, verdict.CodeInternal, recoveringMessage))
 }
 
-const recovering = "the sidecar recovers from a fault"
+const recoveringMessage = "the sidecar recovers from a fault"
 
-// lostEnd ends a run whose end the old table was handling: it does not come
-// again, and the run would hold its slot for good.
-func (t *Table) lostEnd(now time.Time, run RunID) {
-	r, ok := t.runs[run]
+// finishLostRun finishes a run whose completion the old table was processing when
+// it panicked. The event is not repeated, and the run would hold its slot
+// forever.
+func (t *Table) finishLostRun(now time.Time, run RunID) {
+	r, ok := t.byRun[run]
 	if !ok {
 		return
 	}
-	t.settle(r, verdict.MayHaveRun, nil)
-	t.retire(now, r, verdict.MayHaveRun)
+	t.settleClaim(r, verdict.MayHaveRun, nil)
+	t.recordOutcome(now, r, verdict.MayHaveRun)
 }
--- a/internal/sidecar/requests/request.go
+++ b/internal/sidecar/requests/request.go
@@ -10,21 +10,21 @@
 	"pistachioroad.dev/pistachioroad/internal/wire"
 )
 
-// key tells requests apart. The prefill of a request whose decode runs
-// elsewhere is work of its own.
+// key identifies a request. A prefill whose decode runs on another engine is a
+// request of its own.
 type key struct {
 	id      uuid.UUID
 	prefill bool
 }
 
-func (k key) name() string { return k.id.String() }
+func (k key) requestID() string { return k.id.String() }
 
-// item is the key in the queue.
-func (k key) item() string {
+// queueItemID returns the ID of the request's item in the queue.
+func (k key) queueItemID() string {
 	if k.prefill {
-		return k.name() + "/prefill"
+		return k.requestID() + "/prefill"
 	}
-	return k.name()
+	return k.requestID()
 }
 
 type phase uint8
@@ -35,32 +35,33 @@
 	running
 )
 
-// request is one that has no outcome yet.
+// request is an active request: one without an outcome.
 type request struct {
 	key    key
 	serial uint64
 	start  *wire.Start
-	// attempt is the latest that was let in or attached.
-	attempt  uint32
-	print    uint64
-	deadline time.Time
-	phase    phase
-	run      RunID
-	claim    ClaimID
-	// claimed says that the claim was granted and is not settled.
-	claimed bool
-	// stream is where the answer goes; nil for an orphan.
-	stream     *subscriber
+	// attempt is the latest attempt that was admitted or attached.
+	attempt     uint32
+	fingerprint uint64
+	deadline    time.Time
+	phase       phase
+	run         RunID
+	claim       ClaimID
+	// claimHeld is set while the claim is granted and not settled.
+	claimHeld bool
+	// subscriber receives the answer; nil for an orphaned request.
+	subscriber *subscriber
 	orphanedAt time.Time
-	// stopping says that the run was told to stop.
-	stopping bool
+	// cancelling is set once the run's cancellation was requested.
+	cancelling bool
 
 	arrivedAt time.Time
 	startedAt time.Time
 	answer    answer
 }
 
-// subscriber is the stream that an attempt gets its answer on.
+// subscriber is the stream on which an attempt receives its answer. digest
+// covers the chunks sent on it.
 type subscriber struct {
 	stream  Stream
 	attempt uint32
@@ -75,8 +76,8 @@
 	return r.start.GetIdempotencyKey() != "" && !r.idempotent()
 }
 
-// outputLeft returns the output tokens still to be generated.
-func (r *request) outputLeft() int {
+// remainingOutput returns the number of output tokens still to be generated.
+func (r *request) remainingOutput() int {
 	g := r.start.GetGenerate()
 	if g == nil || g.GetPrefillOnly() {
 		return 0
@@ -84,8 +85,8 @@
 	return max(0, int(g.GetMaxTokens())-int(g.GetResumeFrom())-int(r.answer.tokens))
 }
 
-// promptTokens counts what has to be prefilled; a resumed generation prefills
-// its earlier output too.
+// promptTokens returns the number of tokens to prefill. A resumed generation
+// also prefills its earlier output.
 func promptTokens(s *wire.Start) int {
 	g := s.GetGenerate()
 	return int(g.GetPromptTokens()) + int(g.GetResumeFrom())
@@ -99,27 +100,28 @@
 	return max(0, int(g.GetMaxTokens())-int(g.GetResumeFrom()))
 }
 
-// answer is what a run has produced.
+// answer is the output of a run so far.
 type answer struct {
 	chunks []*wire.Chunk
-	// bytes is the memory that the chunks take.
+	// bytes is the memory of the chunks, with chunkOverhead.
 	bytes  int
 	tokens uint32
-	// begun says that there were chunks, kept or not.
-	begun bool
-	// dropped says that the chunks were given up to save memory.
+	// hasOutput is set once a chunk was produced, also when it is not kept.
+	hasOutput bool
+	// dropped is set when the chunks were discarded and the answer is no longer
+	// complete.
 	dropped bool
 }
 
-// chunkOverhead is the memory in bytes of a chunk beside its data. A chunk of
-// one token is mostly that; counted by data alone, the answers kept would take
-// many times their bound.
+// chunkOverhead is the memory in bytes of a chunk besides its data. A chunk of
+// one token is mostly overhead: counting data alone, cached answers would take
+// many times their limit.
 const chunkOverhead = 160
 
 func (a *answer) add(data []byte, tokens uint32) *wire.Chunk {
 	c := &wire.Chunk{Sequence: uint32(len(a.chunks)), Data: data, Tokens: tokens}
 	a.tokens += tokens
-	a.begun = true
+	a.hasOutput = true
 	if !a.dropped {
 		a.chunks = append(a.chunks, c)
 		a.bytes += len(data) + chunkOverhead
@@ -132,9 +134,9 @@
 	a.chunks, a.bytes = nil, 0
 }
 
-// after returns the index of the chunk that follows the first n tokens, or
-// false if none begins there.
-func (a *answer) after(n int) (int, bool) {
+// indexAfterTokens returns the index of the chunk that follows the first n
+// tokens, or false if no chunk boundary is there.
+func (a *answer) indexAfterTokens(n int) (int, bool) {
 	if a.dropped {
 		return 0, false
 	}
@@ -147,8 +149,8 @@
 	return len(a.chunks), n == 0
 }
 
-// fingerprint sums up what a request asks for, without what differs between
-// its attempts. Two requests under one id would otherwise get each other's
+// fingerprint hashes the content of a request, without what differs between its
+// attempts. It keeps two requests that share an id from receiving each other's
 // answers.
 func fingerprint(s *wire.Start) uint64 {
 	hash := xxhash.New()
--- a/internal/sidecar/requests/requests.go
+++ b/internal/sidecar/requests/requests.go
@@ -1,22 +1,24 @@
-// Package requests holds the request table of a sidecar: what waits, what runs,
-// what has ended, and what must never start any more.
+// Package requests implements the request table of a sidecar: the requests that
+// wait or run, the outcomes of finished ones, and the attempts that must never
+// start.
 //
-// A Table is a state machine without I/O, clock or goroutine. It answers every
-// Start with a whole answer or with a refusal whose verdict is true:
+// A Table is a state machine without I/O, clock or goroutines. It answers every
+// Start with a complete answer or a refusal with a correct verdict, and
+// guarantees:
 //
 //   - An attempt runs at most once, and a request that is not idempotent runs
 //     at most once over all its attempts.
-//   - What was told "not run" never starts afterwards. The table remembers it
-//     for as long as a frame about it can be late, see ledger.
-//   - Nothing starts past its deadline or after it was given up.
-//   - No more runs at once than the backend server has slots.
+//   - An attempt that was reported as "not run" never starts afterwards. The
+//     ledger remembers it for as long as a delayed frame could start it.
+//   - Nothing starts after its deadline or after it was cancelled.
+//   - The number of concurrent runs never exceeds the backend server's slots.
 //
 // The phases of a request:
 //
-//	(Start) -> claiming -> queued -> running -> (ended)
+//	(Start) -> claiming -> queued -> running -> (finished)
 //
-// Only calls with an idempotency key are claimed. Each phase can end in a
-// refusal; only a running request can end in an answer.
+// Only calls with an idempotency key pass through claiming. A request can be
+// rejected in every phase; only a running one can complete with an answer.
 package requests
 
 import (
@@ -32,122 +34,126 @@
 	"pistachioroad.dev/pistachioroad/internal/verdict"
 )
 
-// The defaults of a Config.
+// Default values of Config fields.
 const (
-	// DefaultMaxFrameAge is several times what a frame takes on a link that
-	// works, with the silence after which a link is closed on top.
+	// DefaultMaxFrameAge is several times the transit time of a frame on a
+	// working link, plus the silence after which a link is closed.
 	DefaultMaxFrameAge = 30 * time.Second
-	// DefaultRecords is a minute of a thousand requests a second.
-	DefaultRecords = 1 << 16
-	// DefaultMaxRun is longer than the longest deadline of a caller.
-	DefaultMaxRun = 15 * time.Minute
-	// DefaultRetryAfter is the hint of refusals that know no better. The rng
-	// spreads it, so that those refused together do not come back together.
+	// DefaultMaxRecords holds one minute of requests at 1000 per second.
+	DefaultMaxRecords = 1 << 16
+	// DefaultMaxRunTime exceeds the longest deadline that a caller can set.
+	DefaultMaxRunTime = 15 * time.Minute
+	// DefaultRetryAfter is the retry hint of refusals without a better estimate.
+	// Jitter is added so that requests rejected together do not retry together.
 	DefaultRetryAfter = 500 * time.Millisecond
 )
 
-// Config sets a Table. Slots, QueueLength, ResultBytes and ResumeWait are
-// needed; a zero in any other field means its default.
+// Config configures a Table. Slots, QueueLength, MaxAnswerBytes and ResumeWait are
+// required; a zero in any other field selects its default.
 type Config struct {
-	// Slots is how many requests the backend server runs at once.
+	// Slots is the number of requests that the backend server runs concurrently.
 	Slots int
-	// QueueLength bounds the requests that wait, for a claim or for a slot.
+	// QueueLength limits the requests waiting for a claim and, separately, those
+	// waiting for a slot.
 	QueueLength int
-	// ResultBytes bounds the answers kept.
+	// MaxAnswerBytes limits the memory of cached answers and of answers in progress.
 	MaxAnswerBytes int
-	// ResumeWait is how long a generation without a stream goes on.
+	// ResumeWait is how long an idempotent run continues without a stream, so
+	// that a later attempt can resume it.
 	ResumeWait time.Duration
-	// MaxFrameAge is the age from which a Start is refused unseen.
+	// MaxFrameAge is the age from which a Start is rejected without further checks.
 	MaxFrameAge time.Duration
-	// Records bounds the requests remembered after they ended.
-	Records int
-	// MaxRun is when a run that may not be cancelled is given up for good.
-	MaxRun time.Duration
-	// Engine says that the backend server is a model engine: after a run that
-	// ended with CodeBroken nothing starts until Admit.
+	// MaxRecords limits the number of outcome records.
+	MaxRecords int
+	// MaxRunTime is the time after which a run is cancelled even if it is not
+	// idempotent.
+	MaxRunTime time.Duration
+	// ModelEngine reports whether the backend server is a model engine: after a run
+	// that failed with CodeAnswerBroken nothing starts until Admit.
 	ModelEngine bool
 }
 
-// Table is the request table. Its methods are for one goroutine.
+// Table is the request table. It is not safe for concurrent use.
 type Table struct {
 	cfg Config
 	rng *rand.Rand
 
-	live    map[key]*request
-	items   map[string]*request
-	streams map[Stream]*request
-	runs    map[RunID]*request
-	claims  map[ClaimID]*request
-	queue   *queue.Queue
-	ledger  *ledger
-	serial  uint64
-
-	// closed is why nothing is admitted; nil while admitting.
-	closed *verdict.Error
-	// suspect says that the engine broke off; Admit says that its state has
-	// been read since.
+	active     map[key]*request
+	byItemID   map[string]*request
+	byStream   map[Stream]*request
+	byRun      map[RunID]*request
+	byClaim    map[ClaimID]*request
+	queue      *queue.Queue
+	ledger     *ledger
+	lastSerial uint64
+
+	// closedReason is the refusal for new requests; nil while admitting.
+	closedReason *verdict.Error
+	// suspect is set when a run broke off and the engine may have crashed. Admit
+	// clears it: the engine's state has been read since.
 	suspect bool
 	engine  EngineReport
-	meter   meter
+	rates   rateMeter
 
 	effects []Effect
-	// handling is the event that Step has not returned from.
-	handling Event
+	// currentEvent is the event that Step is processing. After a panic it is the
+	// event that caused it.
+	currentEvent Event
 }
 
-// New returns an empty Table that admits nothing until Admit.
+// New returns an empty Table that rejects all requests until Admit.
 func New(cfg Config, rng *rand.Rand) *Table {
 	cfg.MaxFrameAge = cmp.Or(cfg.MaxFrameAge, DefaultMaxFrameAge)
-	cfg.Records = cmp.Or(cfg.Records, DefaultRecords)
-	cfg.MaxRun = cmp.Or(cfg.MaxRun, DefaultMaxRun)
+	cfg.MaxRecords = cmp.Or(cfg.MaxRecords, DefaultMaxRecords)
+	cfg.MaxRunTime = cmp.Or(cfg.MaxRunTime, DefaultMaxRunTime)
 	return &Table{
-		cfg:     cfg,
-		rng:     rng,
-		live:    map[key]*request{},
-		items:   map[string]*request{},
-		streams: map[Stream]*request{},
-		runs:    map[RunID]*request{},
-		claims:  map[ClaimID]*request{},
-		queue:   queue.New(queue.Config{MaxItems: cfg.QueueLength, KVBlockTokens: engine.KVBlockTokens}),
-		ledger:  newLedger(cfg.Records, cfg.MaxAnswerBytes, cfg.MaxFrameAge),
-		closed:  verdict.NewRejection(verdict.CodeNoBackend, "the sidecar has just started", DefaultRetryAfter),
+		cfg:          cfg,
+		rng:          rng,
+		active:       map[key]*request{},
+		byItemID:     map[string]*request{},
+		byStream:     map[Stream]*request{},
+		byRun:        map[RunID]*request{},
+		byClaim:      map[ClaimID]*request{},
+		queue:        queue.New(queue.Config{MaxItems: cfg.QueueLength, KVBlockTokens: engine.KVBlockTokens}),
+		ledger:       newLedger(cfg.MaxRecords, cfg.MaxAnswerBytes, cfg.MaxFrameAge),
+		closedReason: verdict.NewRejection(verdict.CodeNoBackend, "the sidecar has just started", DefaultRetryAfter),
 	}
 }
 
-// Step takes one event and returns what is to be done, in order.
+// Step processes one event and returns the effects to carry out, in order.
 func (t *Table) Step(now time.Time, event Event) []Effect {
-	t.effects, t.handling = nil, event
+	t.effects, t.currentEvent = nil, event
 	t.dispatch(now, event)
 	if _, ok := event.(ChunkReceived); !ok {
-		// Pieces come by the thousand and decide nothing.
+		// Chunks are frequent and never change what can start or expire.
 		t.expire(now)
 		t.startReady(now)
 	}
-	t.check()
-	t.handling = nil
+	t.checkInvariants()
+	t.currentEvent = nil
 	return t.effects
 }
 
 func (t *Table) dispatch(now time.Time, event Event) {
 	switch e := event.(type) {
 	case StartReceived:
-		t.arrived(now, e)
+		t.startReceived(now, e)
 	case CancelReceived:
-		t.cancelled(now, e)
+		t.cancelReceived(now, e)
 	case StreamClosed:
-		t.streamEnded(now, e)
+		t.streamClosed(now, e)
 	case ResolveReceived:
 		t.resolve(now, e)
 	case ClaimDecided:
-		t.claimAnswered(now, e)
+		t.claimDecided(now, e)
 	case ChunkReceived:
-		t.piece(now, e)
+		t.chunkReceived(now, e)
 	case RunFinished:
-		t.ended(now, e)
+		t.runFinished(now, e)
 	case StopAdmitting:
 		t.stopAdmitting(now, e)
 	case Admit:
-		t.closed, t.suspect = nil, false
+		t.closedReason, t.suspect = nil, false
 	case HandOver:
 		t.handOver(now)
 	case EngineReport:
@@ -157,60 +163,61 @@
 	}
 }
 
-// Running returns how many requests the backend server runs, or may still run.
-func (t *Table) Running() int { return len(t.runs) }
+// Running returns the number of requests that the backend server runs or may
+// still be running.
+func (t *Table) Running() int { return len(t.byRun) }
 
-// Live returns how many requests have no outcome yet: waiting for a claim,
+// Active returns the number of requests without an outcome: waiting for a claim,
 // queued or running.
-func (t *Table) Active() int { return len(t.live) }
+func (t *Table) Active() int { return len(t.active) }
 
 // Admitting reports whether new requests are admitted.
-func (t *Table) Admitting() bool { return t.closed == nil }
+func (t *Table) Admitting() bool { return t.closedReason == nil }
 
-// Next returns when to call Step with a Tick at the latest.
-func (t *Table) Next(now time.Time) time.Time {
-	if len(t.live) == 0 {
+// NextTick returns the latest time at which Step must be called with a Tick.
+func (t *Table) NextTick(now time.Time) time.Time {
+	if len(t.active) == 0 {
 		return now.Add(idleTick)
 	}
 	return now.Add(busyTick)
 }
 
 const (
-	// busyTick bounds how long after its deadline a request is answered.
+	// busyTick limits how late after its deadline a request is answered.
 	busyTick = 10 * time.Millisecond
 	idleTick = time.Second
 )
 
-// check asserts what must hold between any two events.
-func (t *Table) check() {
-	invariant.Check(len(t.runs) <= t.cfg.Slots, "concurrency within slots",
-		"%d run in %d slots", len(t.runs), t.cfg.Slots)
-	waiting := len(t.live) - len(t.runs)
+// checkInvariants verifies what must hold between any two events.
+func (t *Table) checkInvariants() {
+	invariant.Check(len(t.byRun) <= t.cfg.Slots, "concurrency within slots",
+		"%d requests run in %d slots", len(t.byRun), t.cfg.Slots)
+	waiting := len(t.active) - len(t.byRun)
 	invariant.Check(waiting <= 2*t.cfg.QueueLength, "bounded queue",
-		"%d wait, at most %d may", waiting, 2*t.cfg.QueueLength)
+		"%d requests wait, limit %d", waiting, 2*t.cfg.QueueLength)
 }
 
-// inOrder returns the requests without outcome, the oldest first: a map's own
-// order differs from run to run, and a seed would not reproduce one.
-func (t *Table) inOrder() []*request {
-	return slices.SortedFunc(maps.Values(t.live), func(a, b *request) int {
+// activeBySerial returns the active requests, oldest first. Map iteration order
+// is random and would make a test run with a given seed not reproducible.
+func (t *Table) activeBySerial() []*request {
+	return slices.SortedFunc(maps.Values(t.active), func(a, b *request) int {
 		return cmp.Compare(a.serial, b.serial)
 	})
 }
 
 func (t *Table) nextSerial() uint64 {
-	t.serial++
-	return t.serial
+	t.lastSerial++
+	return t.lastSerial
 }
 
 func (t *Table) emit(e Effect) { t.effects = append(t.effects, e) }
 
-func (t *Table) note(r *request, decision, why string) {
-	t.emit(Note{Subject: r.key.name(), Decision: decision, Why: why})
+func (t *Table) logDecision(r *request, decision, reason string) {
+	t.emit(LogDecision{Subject: r.key.requestID(), Decision: decision, Reason: reason})
 }
 
-// retryAfter spreads d by a quarter to both sides.
-func (t *Table) retryAfter(d time.Duration) time.Duration {
+// jitter returns d with a random offset of up to a quarter of d.
+func (t *Table) jitter(d time.Duration) time.Duration {
 	const spread = 4
 	if d <= 0 {
 		return 0
--- a/internal/sidecar/requests/requests_test.go
+++ b/internal/sidecar/requests/requests_test.go
@@ -27,9 +27,9 @@
 	})
 
 	Describe("an attempt of unknown outcome", func() {
-		// A link falls silent after an entry sent a hold, and the frame is
-		// still under way. The entry asks on a second connection, is told
-		// "not run", and places the hold elsewhere; then the frame arrives.
+		// Guards against a second run of a call: the Start is delayed on a
+		// silent link, the entry's Resolve on another connection returns "not
+		// run", the call runs elsewhere, and then the Start arrives.
 		It("never starts after a Resolve said not run", func() {
 			id := newID()
 			Expect(d.resolve(id).GetOutcome()).To(Equal(wire.Outcome_OUTCOME_NOT_RUN))
@@ -38,22 +38,22 @@
 			Expect(d.started(id)).To(BeZero())
 		})
 
-		// The same, but the sidecar is paused for an hour and the frame waits
-		// in its socket buffer. By then no table can still remember the id.
-		It("never starts when the frame is older than the memory of it", func() {
+		// As above, but the sidecar is paused for an hour while the frame is in
+		// its socket buffer, longer than records are kept.
+		It("never starts although its record has expired", func() {
 			id := newID()
 			Expect(d.resolve(id).GetOutcome()).To(Equal(wire.Outcome_OUTCOME_NOT_RUN))
 			d.pass(time.Hour)
 			d.step(requests.Tick{})
-			late := requests.StartReceived{Stream: d.stream(), Start: call(id), Age: time.Hour}
-			d.step(late)
-			Expect(d.refusal(late.Stream).GetVerdict()).To(Equal(wire.Verdict_VERDICT_NOT_RUN))
+			delayed := requests.StartReceived{Stream: d.stream(), Start: call(id), Age: time.Hour}
+			d.step(delayed)
+			Expect(d.refusal(delayed.Stream).GetVerdict()).To(Equal(wire.Verdict_VERDICT_NOT_RUN))
 			Expect(d.started(id)).To(BeZero())
 		})
 
-		// An entry is paused for an hour after it sent a hold that ran. "Not
-		// run" from a sidecar that merely forgot it would place it twice.
-		It("is not called not run once its record is forgotten", func() {
+		// Guards against a second run of a call: its entry is paused for an hour
+		// after the call ran, and its record has expired in the meantime.
+		It("is not reported as not run once its record has expired", func() {
 			id := newID()
 			d.arrive(call(id))
 			d.finish(id)
@@ -63,7 +63,7 @@
 			Expect(d.resolve(id).GetOutcome()).To(Equal(wire.Outcome_OUTCOME_MAY_HAVE_RUN))
 		})
 
-		It("gets its kept answer", func() {
+		It("gets its cached answer", func() {
 			id := newID()
 			stream := d.arrive(call(id))
 			d.step(requests.StreamClosed{Stream: stream})
@@ -76,9 +76,9 @@
 		})
 	})
 
-	Describe("a Start that comes twice", func() {
-		// An entry sends a hold again because its connection broke. Run twice,
-		// it places two holds.
+	Describe("a duplicate Start", func() {
+		// Guards against running a call twice when its entry retries after a
+		// broken connection.
 		It("runs once and answers the later attempt", func() {
 			id := newID()
 			first := d.arrive(call(id))
@@ -91,8 +91,8 @@
 			Expect(d.started(id)).To(Equal(1))
 		})
 
-		// Two requests come under one id, by a fault or on purpose. Joined,
-		// one caller reads the other's answer.
+		// Guards against sending a caller another caller's answer when two
+		// requests share an id, by a fault or on purpose.
 		It("does not get the answer to another request", func() {
 			id := newID()
 			d.arrive(call(id))
@@ -104,19 +104,19 @@
 			Expect(d.refusal(d.arrive(other)).GetCode()).To(BeEquivalentTo(verdict.CodeBadRequest))
 		})
 
-		// A draft's link breaks in mid-stream, and its entry comes back for
-		// the rest. What it already has must not come twice.
-		It("goes on with the first token that the caller lacks", func() {
+		// Guards against repeated output when an entry resumes a generation
+		// whose link broke in mid-stream.
+		It("resumes at the first token that the caller does not have", func() {
 			id := newID()
-			stream := d.arrive(draft(id))
-			d.piece(id, "a")
-			d.piece(id, "b")
+			stream := d.arrive(generation(id))
+			d.chunk(id, "a")
+			d.chunk(id, "b")
 			d.step(requests.StreamClosed{Stream: stream})
-			resumed := draft(id)
+			resumed := generation(id)
 			resumed.Attempt = 2
 			resumed.GetGenerate().ResumeFrom = 1
 			second := d.arrive(resumed)
-			d.piece(id, "c")
+			d.chunk(id, "c")
 			d.finish(id)
 			Expect(d.text(second)).To(Equal("bc"))
 			Expect(d.started(id)).To(Equal(1))
@@ -124,10 +124,10 @@
 	})
 
 	Describe("the deadline", func() {
-		// A sidecar is paused with a full queue. Awake, it finds requests whose
-		// callers gave up long ago; run now, they place holds that were
-		// reported as failed.
-		It("keeps what waited too long from starting", func() {
+		// Guards against running calls that were already reported as failed: a
+		// sidecar is paused with queued requests past whose deadlines it
+		// resumes.
+		It("keeps a queued request from starting after it", func() {
 			running, waiting := newID(), newID()
 			d.arrive(call(running))
 			stream := d.arrive(call(waiting))
@@ -137,19 +137,19 @@
 			Expect(d.refusal(stream).GetVerdict()).To(Equal(wire.Verdict_VERDICT_NOT_RUN))
 		})
 
-		// A frame waits in a buffer and brings a budget that was right when it
-		// was sent.
-		It("counts the time that the frame was under way", func() {
+		// Guards against counting the time budget of a buffered frame from its
+		// arrival instead of from when it was sent.
+		It("includes the time that the frame was in transit", func() {
 			id := newID()
-			late := requests.StartReceived{Stream: d.stream(), Start: call(id), Age: 11 * time.Second}
-			d.step(late)
-			Expect(d.refusal(late.Stream).GetCode()).To(BeEquivalentTo(verdict.CodeDeadlineExceeded))
+			delayed := requests.StartReceived{Stream: d.stream(), Start: call(id), Age: 11 * time.Second}
+			d.step(delayed)
+			Expect(d.refusal(delayed.Stream).GetCode()).To(BeEquivalentTo(verdict.CodeDeadlineExceeded))
 			Expect(d.started(id)).To(BeZero())
 		})
 
-		// A call that may not be repeated outlives its deadline. Cutting it
-		// would lose the result of something that happened.
-		It("answers a running call at once and keeps its result", func() {
+		// Guards against losing the result of a call with side effects: a call
+		// that may not be repeated is not cancelled at its deadline.
+		It("answers a running call immediately and keeps its result", func() {
 			id := newID()
 			stream := d.arrive(call(id))
 			d.pass(11 * time.Second)
@@ -161,10 +161,10 @@
 		})
 	})
 
-	Describe("giving up", func() {
-		// A booker hangs up while the hold waits. Placed after that, nobody
-		// knows of it.
-		It("is final for what waits", func() {
+	Describe("cancellation", func() {
+		// Guards against running a call that nobody waits for: the caller
+		// cancels it while it is queued.
+		It("is final for a queued request", func() {
 			running, waiting := newID(), newID()
 			d.arrive(call(running))
 			stream := d.arrive(call(waiting))
@@ -174,31 +174,32 @@
 			Expect(d.started(waiting)).To(BeZero())
 		})
 
-		It("stops a running draft and answers before the engine does", func() {
+		It("cancels a running generation and answers before the engine does", func() {
 			id := newID()
-			stream := d.arrive(draft(id))
+			stream := d.arrive(generation(id))
 			d.step(requests.CancelReceived{Stream: stream})
 			Expect(d.stopped(id)).To(BeTrue())
 			Expect(d.refusal(stream).GetVerdict()).To(Equal(wire.Verdict_VERDICT_MAY_HAVE_RUN))
 		})
 
-		// The engine finishes a draft in the moment it is cancelled, and its
-		// last pieces were dropped. Kept as whole, a part would pass for it.
-		It("keeps no part of an answer as a whole one", func() {
+		// Guards against caching a truncated answer as complete: the engine
+		// finishes a generation just as it is cancelled, and its last chunks
+		// are dropped.
+		It("does not cache a partial answer as a complete one", func() {
 			id := newID()
-			stream := d.arrive(draft(id))
-			d.piece(id, "a")
+			stream := d.arrive(generation(id))
+			d.chunk(id, "a")
 			d.step(requests.CancelReceived{Stream: stream})
-			d.piece(id, "b")
+			d.chunk(id, "b")
 			d.finish(id)
 			Expect(d.resolve(id).GetFinal()).To(BeNil())
 		})
 	})
 
-	Describe("a stream that is lost", func() {
-		It("leaves a draft running for a while, then stops it", func() {
+	Describe("a lost stream", func() {
+		It("leaves a generation running for ResumeWait, then cancels it", func() {
 			id := newID()
-			d.step(requests.StreamClosed{Stream: d.arrive(draft(id))})
+			d.step(requests.StreamClosed{Stream: d.arrive(generation(id))})
 			d.pass(2 * time.Second)
 			d.step(requests.Tick{})
 			Expect(d.stopped(id)).To(BeFalse())
@@ -207,7 +208,7 @@
 			Expect(d.stopped(id)).To(BeTrue())
 		})
 
-		It("leaves a call that may not be repeated to its end", func() {
+		It("lets a call that may not be repeated run to completion", func() {
 			id := newID()
 			d.step(requests.StreamClosed{Stream: d.arrive(call(id))})
 			d.pass(time.Minute)
@@ -228,9 +229,9 @@
 			Expect(d.settled().Final).NotTo(BeNil())
 		})
 
-		// The caller hangs up while the claim is being written, and the write
-		// takes effect. Left alone, the key would answer "under way" for ever.
-		It("is free again when the call was given up before it ran", func() {
+		// Guards against a key that stays in progress forever: the caller
+		// cancels while the claim is being written, and the write succeeds.
+		It("is released when the call was cancelled before it ran", func() {
 			id := newID()
 			stream := d.arrive(keyedCall(id))
 			d.step(requests.CancelReceived{Stream: stream})
@@ -239,9 +240,9 @@
 			Expect(d.settled().Verdict).To(Equal(verdict.NotRun))
 		})
 
-		// An earlier call with the key lost its result, or the store is down.
-		// Run without a claim, the call could run twice.
-		It("that is not granted runs nothing", func() {
+		// Guards against running a call twice when the result of an earlier
+		// call with the key was lost, or the store is down.
+		It("that is not granted does not run the call", func() {
 			id := newID()
 			stream := d.arrive(keyedCall(id))
 			err := verdict.New(verdict.MayHaveRun, verdict.CodeOutcomeUnknown, "its result is lost")
@@ -251,7 +252,7 @@
 			Expect(d.refusal(stream).GetVerdict()).To(Equal(wire.Verdict_VERDICT_MAY_HAVE_RUN))
 		})
 
-		It("replays the kept answer", func() {
+		It("replays the stored answer", func() {
 			stream := d.arrive(keyedCall(newID()))
 			d.step(requests.ClaimDecided{
 				Claim:  d.claim(),
@@ -263,14 +264,14 @@
 		})
 	})
 
-	Describe("an engine that breaks off", func() {
-		// An engine crashes in mid-stream. Work sent to it before its state is
-		// known could meet a half-done change.
-		It("gets nothing more until it is admitted again", func() {
+	Describe("an engine failure", func() {
+		// Guards against sending work to an engine that may have crashed in the
+		// middle of a change: nothing starts before its state is known.
+		It("starts nothing until Admit", func() {
 			id, waiting := newID(), newID()
-			stream := d.arrive(draft(id))
-			d.arrive(draft(waiting))
-			d.piece(id, "a")
+			stream := d.arrive(generation(id))
+			d.arrive(generation(waiting))
+			d.chunk(id, "a")
 			d.end(id, verdict.New(verdict.MayHaveRun, verdict.CodeAnswerBroken, "gone"))
 			Expect(d.refusal(stream).GetCode()).To(BeEquivalentTo(verdict.CodeAnswerBroken))
 			Expect(d.suspected).To(BeTrue())
@@ -279,52 +280,52 @@
 			Expect(d.started(waiting)).To(Equal(1))
 		})
 
-		// The second attempt at a draft waits in the queue when the server
-		// drains. "Not run" would deny the first one, which the engine broke
-		// off.
-		It("does not call a request not run for its last attempt alone", func() {
+		// Guards against a wrong "not run": the second attempt of a generation
+		// is queued when the server drains, but the first one may have run
+		// before the engine broke off.
+		It("does not report a request as not run because of its last attempt alone", func() {
 			id, other := newID(), newID()
-			d.arrive(draft(id))
+			d.arrive(generation(id))
 			d.end(id, verdict.New(verdict.MayHaveRun, verdict.CodeAnswerBroken, "gone"))
 			d.step(requests.Admit{})
-			d.arrive(draft(other))
-			second := draft(id)
+			d.arrive(generation(other))
+			second := generation(id)
 			second.Attempt = 2
 			stream := d.arrive(second)
 			d.step(requests.StopAdmitting{Code: verdict.CodeDraining, Reason: "drained"})
 			Expect(d.refusal(stream).GetVerdict()).To(Equal(wire.Verdict_VERDICT_MAY_HAVE_RUN))
 		})
 
-		// The engine reports that one draft failed. Its other work must not
-		// stop for that: one bad prompt, sent again and again, would take the
-		// engine away from everybody.
-		It("is not suspected for a failure that it reports", func() {
+		// Guards against a query of death: an engine that reports the failure of
+		// one generation must keep serving, or one bad prompt that is retried
+		// makes it unavailable to all callers.
+		It("that the engine reports does not make it suspect", func() {
 			id, waiting := newID(), newID()
-			d.arrive(draft(id))
-			d.arrive(draft(waiting))
+			d.arrive(generation(id))
+			d.arrive(generation(waiting))
 			d.end(id, verdict.New(verdict.MayHaveRun, verdict.CodeBackendFailed, "out of memory"))
 			Expect(d.suspected).To(BeFalse())
 			Expect(d.started(waiting)).To(Equal(1))
 		})
 
-		// The engine says "refused" after it has sent output. Passed on as
-		// "not run" it would contradict what the caller has read.
-		It("has run when it has answered in part", func() {
+		// Guards against "not run" for a request whose caller has received
+		// output: the engine rejects it after it has sent some.
+		It("after partial output is not reported as not run", func() {
 			id := newID()
-			stream := d.arrive(draft(id))
-			d.piece(id, "a")
+			stream := d.arrive(generation(id))
+			d.chunk(id, "a")
 			d.end(id, verdict.New(verdict.NotRun, verdict.CodeBackendFailed, "refused"))
 			Expect(d.refusal(stream).GetVerdict()).To(Equal(wire.Verdict_VERDICT_MAY_HAVE_RUN))
 		})
 	})
 
-	Describe("leaving", func() {
-		// A backend server drains while requests wait. Held until it is gone,
-		// they would miss their deadlines with other servers idle.
-		It("sends away what waits and lets runs go on", func() {
+	Describe("draining", func() {
+		// Guards against missed deadlines: requests queued at a draining server
+		// must go to other servers immediately.
+		It("rejects queued requests and lets runs continue until HandOver", func() {
 			running, waiting := newID(), newID()
-			d.arrive(draft(running))
-			stream := d.arrive(draft(waiting))
+			d.arrive(generation(running))
+			stream := d.arrive(generation(waiting))
 			d.step(requests.StopAdmitting{Code: verdict.CodeDraining, Reason: "drained"})
 			Expect(d.refusal(stream).GetVerdict()).To(Equal(wire.Verdict_VERDICT_NOT_RUN))
 			Expect(d.stopped(running)).To(BeFalse())
@@ -332,7 +333,7 @@
 			Expect(d.stopped(running)).To(BeTrue())
 		})
 
-		It("never cuts a call that may not be repeated", func() {
+		It("never cancels a call that may not be repeated", func() {
 			id := newID()
 			d.arrive(call(id))
 			d.step(requests.StopAdmitting{Code: verdict.CodeDraining, Reason: "drained"})
@@ -341,12 +342,12 @@
 		})
 	})
 
-	Describe("bounds", func() {
-		// More requests come in half a minute than the table can remember.
-		// Dropping the oldest records would let late frames of theirs start.
-		It("refuses work rather than forget too early", func() {
+	Describe("limits", func() {
+		// Guards against evicting records early when more requests arrive in 30 s
+		// than the ledger holds: their delayed frames could start.
+		It("rejects work when the ledger is full", func() {
 			d = newDriver(requests.Config{
-				Slots: 1, QueueLength: 4, MaxAnswerBytes: 1 << 10, ResumeWait: time.Second, Records: 2,
+				Slots: 1, QueueLength: 4, MaxAnswerBytes: 1 << 10, ResumeWait: time.Second, MaxRecords: 2,
 			})
 			d.step(requests.Admit{})
 			for range 2 {
@@ -367,14 +368,14 @@
 			Expect(d.started(fresh)).To(Equal(1))
 		})
 
-		It("drops the oldest kept answers and still knows that they ran", func() {
+		It("evicts the oldest cached answers but keeps their verdicts", func() {
 			first := newID()
 			d.arrive(call(first))
 			d.finish(first)
 			for range 3 {
 				id := newID()
 				d.arrive(call(id))
-				d.pieceOf(id, make([]byte, 500))
+				d.chunkOf(id, make([]byte, 500))
 				d.finish(id)
 			}
 			resolution := d.resolve(first)
@@ -383,20 +384,21 @@
 		})
 	})
 
-	// A duty panics in the middle of an event and is restarted. Its callers
-	// would otherwise wait in silence, and what they were told be forgotten.
+	// Guards against lost state when the duty panics and is restarted: callers
+	// would wait until their deadlines, and attempts reported as "not run" could
+	// start.
 	Describe("Recover", func() {
-		It("gives every request a verdict and keeps the slots of what runs", func() {
-			running, waiting, told := newID(), newID(), newID()
+		It("gives every request a verdict and keeps the slots of running ones", func() {
+			running, waiting, resolved := newID(), newID(), newID()
 			first := d.arrive(call(running))
 			second := d.arrive(call(waiting))
-			d.resolve(told)
+			d.resolve(resolved)
 			d.recover()
 			Expect(d.refusal(first).GetVerdict()).To(Equal(wire.Verdict_VERDICT_MAY_HAVE_RUN))
 			Expect(d.refusal(second).GetVerdict()).To(Equal(wire.Verdict_VERDICT_NOT_RUN))
 
-			d.arrive(call(told))
-			Expect(d.started(told)).To(BeZero())
+			d.arrive(call(resolved))
+			Expect(d.started(resolved)).To(BeZero())
 			other := newID()
 			d.arrive(call(other))
 			Expect(d.started(other)).To(BeZero())
@@ -425,13 +427,13 @@
 	return s
 }
 
-func draft(id uuid.UUID) *wire.Start {
+func generation(id uuid.UUID) *wire.Start {
 	s := call(id)
 	s.Work = &wire.Start_Generate{Generate: &wire.Generate{Model: "m", Prompt: "p", PromptTokens: 1, MaxTokens: 8}}
 	return s
 }
 
-// driver drives a table by hand and keeps what it wanted done.
+// driver passes events to a table and records its effects.
 type driver struct {
 	table     *requests.Table
 	now       time.Time
@@ -509,17 +511,17 @@
 	return d.last(stream).GetResolution()
 }
 
-func (d *driver) piece(id uuid.UUID, text string) {
+func (d *driver) chunk(id uuid.UUID, text string) {
 	d.step(requests.ChunkReceived{Run: d.runs[id], Data: []byte(text), Tokens: 1})
 }
 
-func (d *driver) pieceOf(id uuid.UUID, data []byte) {
+func (d *driver) chunkOf(id uuid.UUID, data []byte) {
 	d.step(requests.ChunkReceived{Run: d.runs[id], Data: data})
 }
 
-// finish ends a run well; a call that has no answer yet gets one.
+// finish completes a run with a Final, after one chunk without data.
 func (d *driver) finish(id uuid.UUID) {
-	d.pieceOf(id, []byte(nil))
+	d.chunkOf(id, []byte(nil))
 	d.step(requests.RunFinished{Run: d.runs[id], Final: &wire.Final{Status: 201}})
 }
 
@@ -569,7 +571,7 @@
 	return final
 }
 
-// text returns the whole answer on a stream and checks that it is one.
+// text returns the complete answer on a stream and verifies its digest.
 func (d *driver) text(stream requests.Stream) string {
 	GinkgoHelper()
 	digest := wire.NewDigest()
--- a/internal/sidecar/requests/run.go
+++ b/internal/sidecar/requests/run.go
@@ -16,125 +16,126 @@
 	runTimer  = metrics.GetOrRegisterTimer("requests.run", nil)
 )
 
-// startReady starts what waits, as far as the engine has room.
+// startReady starts queued requests as far as the engine has capacity.
 func (t *Table) startReady(now time.Time) {
-	if t.closed != nil || t.suspect {
+	if t.closedReason != nil || t.suspect {
 		return
 	}
 	for {
-		slots, pieces := t.room()
-		item, ok := t.queue.Pop(now, queue.Capacity{Slots: slots, KVBlocks: pieces})
+		slots, blocks := t.freeCapacity()
+		item, ok := t.queue.Pop(now, queue.Capacity{Slots: slots, KVBlocks: blocks})
 		if !ok {
 			return
 		}
-		t.start(now, t.items[item.ID])
+		t.start(now, t.byItemID[item.ID])
 	}
 }
 
-// start is the only place where a run begins.
+// start begins a run. It is the only place that does.
 func (t *Table) start(now time.Time, r *request) {
 	t.checkStart(now, r)
 	r.phase = running
 	r.run = RunID(t.nextSerial())
 	r.startedAt = now
 	waitTimer.Update(now.Sub(r.arrivedAt))
-	t.runs[r.run] = r
-	t.note(r, "started", "attempt runs with "+r.deadline.Sub(now).Round(time.Millisecond).String()+" left")
+	t.byRun[r.run] = r
+	t.logDecision(r, "started", "attempt runs with "+r.deadline.Sub(now).Round(time.Millisecond).String()+" left")
 	t.emit(Run{Run: r.run, Start: r.start, Deadline: r.deadline})
 }
 
 func (t *Table) checkStart(now time.Time, r *request) {
 	invariant.Check(now.Before(r.deadline), "no start after the deadline",
-		"request %s is %s late", r.key.name(), now.Sub(r.deadline))
-	invariant.Check(r.phase == queued && t.live[r.key] == r, "a request runs at most once",
-		"request %s is started in phase %d", r.key.name(), r.phase)
-	invariant.Check(!r.keyed() || r.claimed, "a claim before the call",
-		"request %s has a key and no claim", r.key.name())
+		"request %s starts %s after its deadline", r.key.requestID(), now.Sub(r.deadline))
+	invariant.Check(r.phase == queued && t.active[r.key] == r, "a request runs at most once",
+		"request %s starts in phase %d", r.key.requestID(), r.phase)
+	invariant.Check(!r.keyed() || r.claimHeld, "a claim before the call",
+		"request %s has an idempotency key and no claim", r.key.requestID())
 	rec, ok := t.ledger.records[r.key]
 	if !ok {
 		return
 	}
-	invariant.Check(r.start.GetAttempt() > rec.attempts, "not run is final",
-		"request %s: attempt %d starts, %d was refused", r.key.name(), r.start.GetAttempt(), rec.attempts)
+	invariant.Check(r.start.GetAttempt() > rec.maxAttempt, "not run is final",
+		"request %s: attempt %d starts, attempts up to %d were rejected", r.key.requestID(), r.start.GetAttempt(), rec.maxAttempt)
 	invariant.Check(rec.verdict == verdict.NotRun || rec.idempotent, "a request runs at most once",
-		"request %s starts again and %s", r.key.name(), rec.verdict)
+		"request %s starts again, recorded verdict %s", r.key.requestID(), rec.verdict)
 }
 
-// piece passes a part of the answer on and keeps it.
-func (t *Table) piece(now time.Time, e ChunkReceived) {
-	r, ok := t.runs[e.Run]
-	if !ok || r.stopping {
+// chunkReceived adds a chunk to the answer and sends it to the subscriber.
+func (t *Table) chunkReceived(now time.Time, e ChunkReceived) {
+	r, ok := t.byRun[e.Run]
+	if !ok || r.cancelling {
 		return
 	}
-	if !r.answer.begun {
-		t.meter.prefilled(promptTokens(r.start), now.Sub(r.startedAt))
+	if !r.answer.hasOutput {
+		t.rates.observePrefill(promptTokens(r.start), now.Sub(r.startedAt))
 	}
 	c := r.answer.add(e.Data, e.Tokens)
-	t.boundAnswers(r)
-	if r.stream != nil {
+	t.limitAnswerMemory(r)
+	if r.subscriber != nil {
 		t.sendChunk(r, c)
 	}
 }
 
-// boundAnswers keeps the answers within their bound: kept ones go first, then
-// r's own. A run without its chunks goes on; only a later attempt cannot join.
-func (t *Table) boundAnswers(r *request) {
+// limitAnswerMemory keeps answers within MaxAnswerBytes: cached answers are evicted
+// first, then r's own chunks. A run without its chunks continues, but a later
+// attempt cannot attach to it.
+func (t *Table) limitAnswerMemory(r *request) {
 	running := 0
-	for _, other := range t.runs {
+	for _, other := range t.byRun {
 		running += other.answer.bytes
 	}
-	t.ledger.shrink(max(0, t.cfg.MaxAnswerBytes-running))
+	t.ledger.evictAnswers(max(0, t.cfg.MaxAnswerBytes-running))
 	if running > t.cfg.MaxAnswerBytes {
 		r.answer.drop()
 	}
 }
 
-// ended takes the outcome of a run.
-func (t *Table) ended(now time.Time, e RunFinished) {
-	r, ok := t.runs[e.Run]
+// runFinished handles the end of a run.
+func (t *Table) runFinished(now time.Time, e RunFinished) {
+	r, ok := t.byRun[e.Run]
 	if !ok {
 		return
 	}
 	runTimer.Update(now.Sub(r.startedAt))
 	if e.Err != nil {
-		t.endedBroken(now, r, e.Err)
+		t.runFailed(now, r, e.Err)
 		return
 	}
 	final := e.Final
-	t.meterRun(now, r, final)
-	t.settle(r, verdict.Ran, final)
-	if r.stream != nil {
-		t.sendFinal(r.stream, r.key, final)
+	t.observeRun(now, r, final)
+	t.settleClaim(r, verdict.Ran, final)
+	if r.subscriber != nil {
+		t.sendFinal(r.subscriber, r.key, final)
 	}
-	t.note(r, "ran", "whole answer")
-	rec := t.retire(now, r, verdict.Ran)
-	t.ledger.keep(rec, r.answer, final)
+	t.logDecision(r, "ran", "whole answer")
+	rec := t.recordOutcome(now, r, verdict.Ran)
+	t.ledger.cacheAnswer(rec, r.answer, final)
 }
 
-func (t *Table) meterRun(now time.Time, r *request, final *wire.Final) {
+func (t *Table) observeRun(now time.Time, r *request, final *wire.Final) {
 	took := now.Sub(r.startedAt)
 	if r.start.GetCall() != nil {
-		t.meter.served(took)
+		t.rates.observeCall(took)
 		return
 	}
-	t.meter.decoded(int(r.answer.tokens), took)
+	t.rates.observeDecode(int(r.answer.tokens), took)
 }
 
-// endedBroken takes the end of a run without a whole answer.
-func (t *Table) endedBroken(now time.Time, r *request, err *verdict.Error) {
-	told := *err
-	if told.Verdict == verdict.NotRun && r.answer.begun {
-		told.Verdict = verdict.MayHaveRun
+// runFailed handles a run that finished without a complete answer.
+func (t *Table) runFailed(now time.Time, r *request, err *verdict.Error) {
+	reported := *err
+	if reported.Verdict == verdict.NotRun && r.answer.hasOutput {
+		reported.Verdict = verdict.MayHaveRun
 	}
-	if t.cfg.ModelEngine && told.Code == verdict.CodeAnswerBroken && !r.stopping {
+	if t.cfg.ModelEngine && reported.Code == verdict.CodeAnswerBroken && !r.cancelling {
 		t.suspect = true
 		t.emit(CheckEngine{})
 	}
-	t.settle(r, told.Verdict, nil)
-	t.note(r, "ended", told.Error())
-	stream := r.stream
-	t.retire(now, r, told.Verdict)
-	if stream != nil {
-		t.sendRefusal(stream.stream, r.key, stream.attempt, t.atWorst(r.key, &told))
+	t.settleClaim(r, reported.Verdict, nil)
+	t.logDecision(r, "ended", reported.Error())
+	sub := r.subscriber
+	t.recordOutcome(now, r, reported.Verdict)
+	if sub != nil {
+		t.sendRefusal(sub.stream, r.key, sub.attempt, t.withWorstVerdict(r.key, &reported))
 	}
 }
--- a/internal/sidecar/runner.go
+++ b/internal/sidecar/runner.go
@@ -15,32 +15,32 @@
 
 var runPanics = metrics.GetOrRegisterCounter("requests.run.panics", nil)
 
-// runner carries out the runs of the request table.
+// runner executes the runs of the request table on the backend.
 type runner struct {
 	backend backend
 	post    func(requests.Event)
 }
 
-// do carries out one run and posts its pieces and its end. The end comes also
-// after a panic: the run would hold its slot for good otherwise.
-func (r *runner) do(ctx context.Context, e requests.Run) {
-	ended := requests.RunFinished{Run: e.Run}
+// execute executes one run and posts its chunks and its outcome. The outcome is
+// posted also after a panic; otherwise the run would hold its slot forever.
+func (r *runner) execute(ctx context.Context, e requests.Run) {
+	finished := requests.RunFinished{Run: e.Run}
 	defer func() {
-		if fault := recover(); fault != nil {
+		if recovered := recover(); recovered != nil {
 			runPanics.Inc(1)
-			log.WithField("fault", fmt.Sprint(fault)).Error("run panicked")
-			ended = requests.RunFinished{
+			log.WithField("fault", fmt.Sprint(recovered)).Error("run panicked")
+			finished = requests.RunFinished{
 				Run: e.Run,
 				Err: verdict.New(verdict.MayHaveRun, verdict.CodeInternal, "the run failed inside the sidecar"),
 			}
 		}
-		r.post(ended)
+		r.post(finished)
 	}()
-	ended.Final, ended.Err = r.run(ctx, e)
+	finished.Final, finished.Err = r.run(ctx, e)
 }
 
-// run looks at the deadline once more: the process may have been paused since
-// the table decided.
+// run checks the deadline again, because the process may have been paused since
+// the table started the run.
 func (r *runner) run(ctx context.Context, e requests.Run) (*wire.Final, *verdict.Error) {
 	if !time.Now().Before(e.Deadline) {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeDeadlineExceeded, "the deadline passed before the start")
