--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -1,18 +1,18 @@
-// Package sidecar is the process beside a backend server. It is the only path
-// to that backend server, for requests and for orders.
+// Package sidecar implements the process that runs next to a backend server. It
+// is the only path to that backend server, for requests and for orders.
 //
-// Its duties, each a goroutine of its own:
+// Its duties, each with its own goroutine:
 //
-//	links      takes connections and their streams
-//	requests   owns the request table: what waits, runs and has ended
-//	control    heartbeats, load, cache events and objects to and from entries
-//	orders     brings the model engine to its row of the plan
+//	links      accepts connections from entries and serves their streams
+//	requests   owns the request table: waiting, running and finished requests
+//	control    exchanges heartbeats, load, cache events and objects with entries
+//	orders     brings the model engine to the state given by the plan
 //	reports    reads the engine's load and cache events
-//	admission  decides whether requests are let in
-//	fleet      hands the configuration and the plan to the duties
+//	admission  decides whether requests are admitted
+//	fleet      passes the configuration and the plan on to the other duties
 //	claims     claims idempotency keys in the store
 //	member     holds the fleet's configuration and plan
-//	operator   health, metrics, state dump and decisions
+//	operator   serves health, metrics, state dumps and the decision log
 package sidecar
 
 import (
@@ -38,31 +38,32 @@
 )
 
 const (
-	// explainSize is how many decisions are remembered.
+	// explainSize is the number of records in the decision log.
 	explainSize = 4096
-	// leaveGrace is how long no request must have come before a sidecar that
-	// shuts down ends. What entries sent before they heard of it would meet a
-	// closed connection, and nobody could tell any more whether it ran; on a
-	// busy VM an entry may hear late. It covers a heartbeat and its way.
-	leaveGrace = link.HeartbeatInterval + 200*time.Millisecond
+	// shutdownQuietPeriod is the time without new requests after which a sidecar
+	// may stop. Requests sent by entries that do not know of the shutdown yet
+	// would meet a closed connection and have an unknown outcome; on a busy VM
+	// the announcement may arrive late. It covers one heartbeat interval and the
+	// network latency.
+	shutdownQuietPeriod = link.HeartbeatInterval + 200*time.Millisecond
 )
 
-// started is the origin of this process's clock, which Hello and Heartbeat
-// tell and Start echoes.
-var started = time.Now()
+// clockOrigin is the zero of the process clock that Hello and Heartbeat carry and
+// entries echo in Start and Resolve.
+var clockOrigin = time.Now()
 
-func clock() time.Duration { return time.Since(started) + time.Microsecond }
+func clock() time.Duration { return time.Since(clockOrigin) + time.Microsecond }
 
-// Run serves until ctx ends, then finishes or hands over what runs and returns
-// nil.
+// Run serves until ctx is done, then finishes or hands over running requests and
+// returns nil.
 //
-// It binds the address for links before anything else. The kernel keeps that
-// address for a paused process too, so two sidecars never run beside one
-// backend server and give it conflicting orders.
+// It first binds the address for links, which works as a lock: the kernel holds
+// it also for a paused process. So two sidecars never run next to one backend
+// server and send it conflicting orders.
 func Run(ctx context.Context, s settings.Settings) error {
 	listener, err := net.Listen("tcp", s.Listen.Links)
 	if err != nil {
-		return eris.Wrap(err, "another sidecar may be running")
+		return eris.Wrap(err, "cannot listen on the links address; another sidecar may be running")
 	}
 	defer listener.Close()
 	p, err := do.Invoke[*process](newInjector(s, listener))
@@ -72,7 +73,7 @@
 	return p.run(ctx)
 }
 
-// newInjector names how each part is built.
+// newInjector registers the constructors of all components.
 func newInjector(s settings.Settings, listener net.Listener) do.Injector {
 	injector := do.New()
 	do.ProvideValue(injector, s)
@@ -134,7 +135,7 @@
 	return newPlainService(server.Address), nil
 }
 
-// process is a whole sidecar.
+// process holds the components that run and shutDown use.
 type process struct {
 	settings   settings.Settings
 	supervisor *suture.Supervisor
@@ -200,29 +201,30 @@
 	)
 }
 
-// run serves until ctx ends.
+// run serves until ctx is done, then shuts down.
 func (p *process) run(ctx context.Context) error {
 	log.WithField("links", p.settings.Listen.Links).Info("serving")
 	return daemon.Serve(ctx, p.supervisor, p.shutDown)
 }
 
-// shutDown takes the backend server out of service without cutting a request.
-// Entries are told at once; what waits is refused and goes elsewhere; what runs
-// finishes, or after half of the time is handed over.
+// shutDown drains the backend server without losing a request. Draining is
+// announced to entries immediately, and waiting requests are rejected so that
+// entries send them elsewhere. Running requests may finish; after half of the
+// shutdown timeout the idempotent ones are handed over.
 func (p *process) shutDown(ctx context.Context) {
 	timeout := p.settings.Sidecar.ShutdownTimeout
 	log.WithField("timeout", timeout.String()).Info("draining")
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	p.admission.shutDown(ctx, timeout/2)
-	p.links.awaitQuiet(ctx, leaveGrace)
+	p.links.awaitNoArrivals(ctx, shutdownQuietPeriod)
 	p.requests.awaitIdle(ctx)
 	p.links.awaitSent(ctx)
 	if err := p.claims.Release(ctx); err != nil {
-		log.WithError(err).Warn("key slots not released: their next owner waits for a while")
+		log.WithError(err).Warn("cannot release key slots; their next owner takes over after a delay")
 	}
 	log.Info("drained")
 }
 
-// newRandom returns a source for the spread of retries.
+// newRandom returns a randomly seeded source for retry jitter.
 func newRandom() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -29,50 +29,50 @@
 }
 
 var _ = Describe("Run", func() {
-	It("streams an answer of the engine and proves it whole", func() {
+	It("streams an answer of the engine with a valid digest", func() {
 		s := startEngineSidecar()
-		text, final := receiveAnswer(s.link().send(draft("portfolio", 20)))
+		text, final := receiveAnswer(s.link().send(generation("portfolio", 20)))
 		Expect(text).To(Equal(modelengine.Answer("portfolio", 20)))
 		Expect(final.GetFinishReason()).To(Equal("length"))
 	})
 
-	It("passes the answer of a plain service on", func() {
+	It("passes on the answer of a plain service", func() {
 		s := startServiceSidecar()
-		text, final := receiveAnswer(s.link().send(hold("seo-yeon")))
+		text, final := receiveAnswer(s.link().send(bookingCall("seo-yeon")))
 		Expect(text).To(ContainSubstring("seo-yeon"))
 		Expect(final.GetStatus()).To(BeEquivalentTo(http.StatusCreated))
 	})
 
-	It("tells operators the state of each duty and what was decided", func() {
+	It("shows operators the state of each duty and the decisions for a request", func() {
 		s := startEngineSidecar()
-		start := draft("portfolio", 1)
+		start := generation("portfolio", 1)
 		receiveAnswer(s.link().send(start))
 		dump := operator.Dump{}
-		s.askOperators("/dump", &dump)
+		s.getOperator("/dump", &dump)
 		Expect(dump.Duties).To(HaveLen(8))
 		for name, duty := range dump.Duties {
 			Expect(duty.Condition).To(Equal(operator.DutyOK), name)
 		}
-		told := operator.Explanation{}
-		s.askOperators("/explain?subject="+uuid.UUID(start.GetRequestId()).String(), &told)
-		Expect(told.Records).To(ContainElement(HaveField("Decision", "ran")))
+		explanation := operator.Explanation{}
+		s.getOperator("/explain?subject="+uuid.UUID(start.GetRequestId()).String(), &explanation)
+		Expect(explanation.Records).To(ContainElement(HaveField("Decision", "ran")))
 	})
 
-	// An operator starts a second sidecar on the VM, or the platform does while
-	// the first one is paused. Both would order the engine.
+	// Guards against two sidecars that both send orders to the engine: an operator
+	// starts a second one, or the platform does while the first is paused.
 	It("does not run twice on one VM", func() {
 		s := startServiceSidecar()
 		Expect(sidecar.Run(context.Background(), s.settings)).To(MatchError(ContainSubstring("another sidecar")))
 	})
 
-	Describe("a link that is lost", func() {
-		// A connection breaks while a hold is placed. The entry asks on another
-		// one; told "not run", it would place a second hold.
+	Describe("a lost link", func() {
+		// Guards against a second run of a call: its connection breaks while it
+		// runs, and the entry's Resolve on another one must not return "not run".
 		It("does not lose the result of a call", func() {
 			s := startServiceSidecar()
-			s.slowService(300 * time.Millisecond)
+			s.delayService(300 * time.Millisecond)
 			first, second := s.link(), s.link()
-			start := hold("seo-yeon")
+			start := bookingCall("seo-yeon")
 			first.send(start)
 			Eventually(s.runs("seo-yeon")).Should(Equal(1))
 			Expect(first.Close()).To(Succeed())
@@ -80,17 +80,17 @@
 			Expect(second.resolve(start).GetOutcome()).To(Equal(wire.Outcome_OUTCOME_RUNNING))
 			Eventually(func() wire.Outcome { return second.resolve(start).GetOutcome() }).
 				WithTimeout(5 * time.Second).Should(Equal(wire.Outcome_OUTCOME_RAN))
-			kept := second.resolve(start)
-			Expect(kept.GetIncarnation()).To(Equal(second.hello.GetIncarnation()))
-			Expect(kept.GetFinal().GetStatus()).To(BeEquivalentTo(http.StatusCreated))
+			resolved := second.resolve(start)
+			Expect(resolved.GetIncarnation()).To(Equal(second.hello.GetIncarnation()))
+			Expect(resolved.GetFinal().GetStatus()).To(BeEquivalentTo(http.StatusCreated))
 			Expect(s.runs("seo-yeon")()).To(Equal(1))
 		})
 
-		// The frame of a hold is still under way when its entry asks on a
-		// second connection and is told "not run".
+		// Guards against running a call after "not run": the Start is still in
+		// transit when the entry sends a Resolve on a second connection.
 		It("does not start what was resolved as not run", func() {
 			s := startServiceSidecar()
-			start := hold("seo-yeon")
+			start := bookingCall("seo-yeon")
 			Expect(s.link().resolve(start).GetOutcome()).To(Equal(wire.Outcome_OUTCOME_NOT_RUN))
 			refusal := receiveRefusal(s.link().send(start))
 			Expect(refusal.GetVerdict()).To(Equal(wire.Verdict_VERDICT_NOT_RUN))
@@ -98,12 +98,12 @@
 		})
 	})
 
-	// The sidecar is paused with a frame in its socket buffer; the frame's age
-	// shows only against the clock that its entry last heard.
-	It("does not start what spent its time under way", func() {
+	// Guards against a late start: the sidecar is paused with a frame in its socket
+	// buffer, and only the echoed clock value shows the frame's age.
+	It("does not start a request whose time budget expired in transit", func() {
 		s := startServiceSidecar()
 		l := s.link()
-		start := hold("seo-yeon")
+		start := bookingCall("seo-yeon")
 		start.BudgetUs = time.Millisecond.Microseconds()
 		start.ClockUs = l.hello.GetClockUs()
 		time.Sleep(2 * time.Millisecond)
@@ -111,50 +111,52 @@
 		Expect(s.runs("seo-yeon")()).To(BeZero())
 	})
 
-	// A caller asks for a hold twice under one key, because its first
-	// connection broke.
+	// Guards against running a call twice when a caller retries it with the same
+	// idempotency key after a broken connection.
 	It("runs a call once for its idempotency key", func() {
 		s := startServiceSidecar()
 		l := s.link()
 		l.offer(plan.Plan{Region: "seoul", Slots: map[string]plan.Slots{"booking": {Owners: []string{"vm-1"}}}})
 		l.awaitSlots()
-		first, second := hold("seo-yeon"), hold("seo-yeon")
+		first, second := bookingCall("seo-yeon"), bookingCall("seo-yeon")
 		first.IdempotencyKey, second.IdempotencyKey = "k", "k"
-		placed, _ := receiveAnswer(l.send(first))
+		answer, _ := receiveAnswer(l.send(first))
 		replayed, final := receiveAnswer(l.send(second))
-		Expect(replayed).To(Equal(placed))
+		Expect(replayed).To(Equal(answer))
 		Expect(final.GetReplayed()).To(BeTrue())
 		Expect(s.runs("seo-yeon")()).To(Equal(1))
 	})
 
-	// The store is down, and nobody can tell whether the key was used.
-	It("runs nothing for a key that cannot be claimed", func() {
+	// Guards against running a call whose key may have been used already, because
+	// the store is down.
+	It("does not run a call whose key cannot be claimed", func() {
 		s := startServiceSidecar()
-		start := hold("seo-yeon")
+		start := bookingCall("seo-yeon")
 		start.IdempotencyKey = "k"
 		Expect(receiveRefusal(s.link().send(start)).GetVerdict()).To(Equal(wire.Verdict_VERDICT_NOT_RUN))
 		Expect(s.runs("seo-yeon")()).To(BeZero())
 	})
 
-	Describe("an engine", func() {
-		// It crashes in the middle of a draft, and the answer merely stops.
-		It("that breaks off gives no short answer for a whole one", func() {
+	Describe("a model engine", func() {
+		// Guards against passing on a truncated answer as complete when the
+		// engine crashes in the middle of it.
+		It("that crashes in mid-answer causes a refusal", func() {
 			s := startEngineSidecar()
-			conn := s.link().send(draft("portfolio", 10_000))
+			conn := s.link().send(generation("portfolio", 10_000))
 			receiveChunk(conn)
 			s.backend.CloseClientConnections()
 			refusal := receiveRefusal(conn)
 			Expect(refusal.GetVerdict()).To(Equal(wire.Verdict_VERDICT_MAY_HAVE_RUN))
 			Expect(refusal.GetCode()).To(BeEquivalentTo(verdict.CodeAnswerBroken))
-			receiveAnswer(s.admitted().send(draft("portfolio", 5)))
+			receiveAnswer(s.admitted().send(generation("portfolio", 5)))
 		})
 
-		// The plan changes the engine while drafts go on. An order that leaves
-		// too early cuts them, and the engine records that.
-		It("changes without cutting a draft", func() {
+		// Guards against an order sent while requests are running, which would
+		// interrupt them; the stand-in engine records that as a violation.
+		It("changes without interrupting a request", func() {
 			s := startEngineSidecar()
 			l := s.link()
-			stop := s.keepDrafting()
+			stop := s.keepGenerating()
 			l.offer(plan.Plan{Region: "seoul", Engines: map[string]plan.Engine{
 				"vm-1": {Generation: 1, Role: engine.RoleDecode, Model: "draft", Weights: "1", Reason: "test"},
 			}})
@@ -165,16 +167,16 @@
 		})
 	})
 
-	// The prefill and the decode of a draft run on two engines. The entry passes
-	// a ticket only; the engines move the cache between themselves.
+	// The entry passes only a ticket; the engines transfer the KV cache
+	// themselves.
 	It("prefills on one engine and decodes on another", func() {
 		prefill, decode := startEngineSidecar(), startEngineSidecar()
-		start := draft("portfolio", 10)
+		start := generation("portfolio", 10)
 		start.GetGenerate().PrefillOnly = true
 		text, final := receiveAnswer(prefill.link().send(start))
 		Expect(text).To(BeEmpty())
 
-		start = draft("portfolio", 10)
+		start = generation("portfolio", 10)
 		start.GetGenerate().Kv = final.GetKv()
 		start.GetGenerate().Kv.Source = address(prefill.backend)
 		text, _ = receiveAnswer(decode.link().send(start))
@@ -182,16 +184,16 @@
 		Expect(decode.engineRecord().Imports).To(Equal(1))
 	})
 
-	// A backend server is taken down while a draft is on its way. The booker
-	// sees it end; what comes after goes elsewhere at once.
-	It("finishes what runs when it shuts down", func() {
+	// Guards against interrupting a generation on shutdown: it completes, and later
+	// requests are rejected immediately so that they go elsewhere.
+	It("completes running requests when it shuts down", func() {
 		s := startEngineSidecar()
 		l := s.link()
-		running := l.send(draft("portfolio", 200))
+		running := l.send(generation("portfolio", 200))
 		first := receiveChunk(running)
 		s.stop()
 		l.awaitDraining()
-		refusal := receiveRefusal(l.send(draft("portfolio", 1)))
+		refusal := receiveRefusal(l.send(generation("portfolio", 1)))
 		Expect(refusal.GetVerdict()).To(Equal(wire.Verdict_VERDICT_NOT_RUN))
 		Expect(refusal.GetCode()).To(BeEquivalentTo(verdict.CodeDraining))
 		text, _ := receiveAnswer(running, first)
@@ -201,9 +203,9 @@
 })
 
 var _ = Describe("Run without a caller", func() {
-	// A hold is being placed when its entry dies and the backend server is
-	// taken down. Cut now, nobody would ever know whether it was placed.
-	It("ends only after a call that may not be repeated", func() {
+	// Guards against an outcome that stays unknown forever: a call's entry crashes
+	// and the sidecar shuts down while the call is running.
+	It("returns only after a running call that may not be repeated", func() {
 		release := make(chan struct{})
 		placing := make(chan struct{}, 1)
 		s := startSidecar("booking", http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
@@ -211,7 +213,7 @@
 			<-release
 		}))
 		l := s.link()
-		l.send(hold("seo-yeon"))
+		l.send(bookingCall("seo-yeon"))
 		Eventually(placing).Should(Receive())
 		Expect(l.Close()).To(Succeed())
 		s.stop()
@@ -222,24 +224,24 @@
 })
 
 var _ = Describe("Versions", func() {
-	// Operators edit and look where the change is in force. A sidecar that tells
-	// of the snapshot before its change looks as if it lagged by seconds, and the
-	// entry sends it the object once more.
-	It("are told of a change with the version that is then in force", func() {
+	// Guards against announcing the versions of the previous snapshot after a
+	// change: operators would see the sidecar lag by seconds, and the entry would
+	// send the object again.
+	It("are announced after a change with the new version", func() {
 		s := startServiceSidecar()
 		l := s.admitted()
 		l.await(func(frame *wire.Frame) bool { return frame.GetVersions() != nil })
 		l.offer(plan.Plan{Region: "seoul"})
-		told := map[string]uint64{}
+		announced := map[string]uint64{}
 		l.await(func(frame *wire.Frame) bool {
-			told = frame.GetVersions().GetVersions()
-			return told != nil
+			announced = frame.GetVersions().GetVersions()
+			return announced != nil
 		})
-		Expect(told).To(HaveKeyWithValue("plan/seoul", uint64(7)))
+		Expect(announced).To(HaveKeyWithValue("plan/seoul", uint64(7)))
 	})
 })
 
-// offer hands the sidecar a plan, as an entry does that has a newer one.
+// offer sends the sidecar a newer plan, as an entry does.
 func (l *entryLink) offer(p plan.Plan) {
 	GinkgoHelper()
 	value, err := json.Marshal(p)
--- a/internal/sidecar/stream.go
+++ b/internal/sidecar/stream.go
@@ -6,15 +6,15 @@
 	"pistachioroad.dev/pistachioroad/internal/wire"
 )
 
-// streamQueue is how many frames may wait to be sent on a stream, beyond what
-// its window holds: twice the pieces of the largest answer of a plain service.
-// An entry that takes fewer has stalled; its stream ends, and it can ask for
-// the outcome.
-const streamQueue = 2 * maxAnswer / answerPiece
+// streamOutboxSize is the maximum number of frames queued on a stream, beyond its
+// flow-control window: twice the chunks of the largest answer of a plain service.
+// If it is exceeded, the entry has stalled and its stream is closed; the entry
+// can send a Resolve for the outcome.
+const streamOutboxSize = 2 * maxAnswerBytes / answerChunkBytes
 
-// stream is one stream of an attempt or a Resolve. Its frames are sent by a
-// goroutine of its own, because a silent connection blocks the sender and must
-// not hold up other streams.
+// stream is the stream of one attempt or Resolve. A separate goroutine sends its
+// frames, because an unresponsive connection blocks the sender and must not delay
+// other streams.
 type stream struct {
 	number requests.Stream
 	conn   *wire.Conn
@@ -26,19 +26,21 @@
 	return &stream{
 		number: number,
 		conn:   conn,
-		outbox: ring.New[requests.Send]("stream", streamQueue, ring.Reject),
+		outbox: ring.New[requests.Send]("stream", streamOutboxSize, ring.Reject),
 		done:   make(chan struct{}),
 	}
 }
 
-// send queues a frame. It never blocks; on a stream that stalls it ends it.
+// send queues a frame without blocking. It closes the stream if the queue is
+// full.
 func (s *stream) send(e requests.Send) {
 	if !s.outbox.Put(e) {
 		_ = s.conn.Close()
 	}
 }
 
-// write sends the queued frames up to the last one, or until end is closed.
+// write sends queued frames until the last one is sent, sending fails or end is
+// closed.
 func (s *stream) write(end <-chan struct{}) {
 	defer close(s.done)
 	defer s.conn.Close()
