--- a/internal/entry/api/api.go
+++ b/internal/entry/api/api.go
@@ -1,5 +1,5 @@
-// Package api is the callers' HTTP API: completions in the OpenAI shape, and
-// the plain services.
+// Package api implements the callers' HTTP API: OpenAI-compatible completions, and
+// calls of plain services.
 package api
 
 import (
@@ -20,31 +20,34 @@
 )
 
 const (
-	jsonType = "application/json"
-	// defaultDeadline is the time of a request that nothing else names one for.
+	jsonContentType = "application/json"
+	// defaultDeadline applies if neither the caller nor the configuration sets a
+	// deadline.
 	defaultDeadline = 30 * time.Second
-	// writeTimeout is how long a caller may take to read one piece of an answer,
-	// or one that does not stream. A caller that reads nothing would hold a slot
-	// of an engine.
+	// writeTimeout is how long a caller may take to read one event of a stream, or
+	// a whole response that is not streamed. Without it a caller that reads nothing
+	// would occupy an engine slot.
 	writeTimeout = 15 * time.Second
-	// fullRetryAfter is told when the entry holds too many requests.
-	fullRetryAfter = time.Second
+	// overloadRetryAfter is the Retry-After when too many requests are in flight.
+	overloadRetryAfter = time.Second
 )
 
-// Doer serves one request to its end.
-type Doer interface {
+// Executor runs requests.
+type Executor interface {
+	// Do runs one request and passes its answer to sink. It returns when the
+	// request has finished.
 	Do(ctx context.Context, request *serve.Request, sink serve.Sink)
 }
 
-// API is the callers' HTTP API.
+// API implements the callers' HTTP API.
 type API struct {
 	settings *settings.Entry
-	doer     Doer
+	executor Executor
 	views    view.Source
 
 	completions *validator[completionRequest]
 	chats       *validator[chatRequest]
-	// writeTimeout is how long a caller may take to read a piece of an answer.
+	// writeTimeout is the constant, except in tests.
 	writeTimeout time.Duration
 
 	inFlight atomic.Int64
@@ -52,16 +55,16 @@
 }
 
 var (
-	badRequests   = metrics.GetOrRegisterCounter("api.bad_requests", nil)
-	fullRefusals  = metrics.GetOrRegisterCounter("api.refused.full", nil)
-	brokenStreams = metrics.GetOrRegisterCounter("api.streams.broken", nil)
+	badRequests        = metrics.GetOrRegisterCounter("api.bad_requests", nil)
+	inFlightRejections = metrics.GetOrRegisterCounter("api.refused.full", nil)
+	brokenStreams      = metrics.GetOrRegisterCounter("api.streams.broken", nil)
 )
 
 // New returns the API.
-func New(s *settings.Entry, doer Doer, views view.Source) *API {
+func New(s *settings.Entry, executor Executor, views view.Source) *API {
 	return &API{
 		settings:    s,
-		doer:        doer,
+		executor:    executor,
 		views:       views,
 		completions: newValidator[completionRequest](),
 		chats:       newValidator[chatRequest](),
@@ -70,14 +73,14 @@
 	}
 }
 
-// Drain makes every further answer ask its caller to close the connection, so
-// that the balancer's connections move to other entries.
+// Drain adds "Connection: close" to all further responses, so that the balancer's
+// connections move to other entries.
 func (a *API) Drain() { a.draining.Store(true) }
 
-// InFlight returns how many requests are being served.
+// InFlight returns the number of requests in flight.
 func (a *API) InFlight() int { return int(a.inFlight.Load()) }
 
-// Handler returns the routes.
+// Handler returns the HTTP handler of all routes.
 func (a *API) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/completions", a.handle(a.completion))
@@ -90,10 +93,11 @@
 	return mux
 }
 
-// handler serves one request with its id.
+// handler handles one HTTP request, which has been given an id.
 type handler func(w http.ResponseWriter, r *http.Request, id uuid.UUID)
 
-// handle gives the request an id and bounds the requests in flight.
+// handle wraps h: it gives the request an id and rejects it if too many are in
+// flight.
 func (a *API) handle(h handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id := uuid.Must(uuid.NewV7())
@@ -103,8 +107,8 @@
 		}
 		defer a.inFlight.Add(-1)
 		if a.inFlight.Add(1) > int64(a.settings.Limits.InFlight) {
-			fullRefusals.Inc(1)
-			writeError(w, id.String(), verdict.NewRejection(verdict.CodeOverloaded, "the entry holds too many requests", fullRetryAfter))
+			inFlightRejections.Inc(1)
+			writeError(w, id.String(), verdict.NewRejection(verdict.CodeOverloaded, "the entry holds too many requests", overloadRetryAfter))
 			return
 		}
 		h(w, r, id)
@@ -120,18 +124,18 @@
 	writeErrorStatus(w, id.String(), badRequest("there is no "+r.URL.Path), http.StatusNotFound)
 }
 
-// refuse answers a request that was not understood.
-func refuse(w http.ResponseWriter, id uuid.UUID, err *verdict.Error) {
+// rejectRequest responds to a request that is invalid or was not fully received.
+func rejectRequest(w http.ResponseWriter, id uuid.UUID, err *verdict.Error) {
 	badRequests.Inc(1)
 	if err.Code == verdict.CodeSlowBody || err.Code == verdict.CodeTooLarge {
-		// The rest of the body would be taken for the next request.
+		// The unread rest of the body would be parsed as the next request.
 		w.Header().Set("Connection", "close")
 	}
 	writeError(w, id.String(), err)
 }
 
-// values returns the fleet configuration for a service and model.
-func (a *API) values(service, model string) fleetconfig.Values {
+// configValues returns the fleet configuration values for a service and model.
+func (a *API) configValues(service, model string) fleetconfig.Values {
 	return a.views.View().ConfigValues(service, model, time.Now())
 }
 
--- a/internal/entry/api/api_test.go
+++ b/internal/entry/api/api_test.go
@@ -32,18 +32,18 @@
 	RunSpecs(t, "api")
 }
 
-// doer answers as its function says and keeps the last request.
-type doer struct {
+// fakeExecutor answers with the given function and records the last request.
+type fakeExecutor struct {
 	last   atomic.Pointer[serve.Request]
 	answer func(sink serve.Sink)
 }
 
-func (d *doer) Do(_ context.Context, request *serve.Request, sink serve.Sink) {
+func (d *fakeExecutor) Do(_ context.Context, request *serve.Request, sink serve.Sink) {
 	d.last.Store(request)
 	d.answer(sink)
 }
 
-func (d *doer) request() *serve.Request { return d.last.Load() }
+func (d *fakeExecutor) request() *serve.Request { return d.last.Load() }
 
 type noFleet struct{}
 
@@ -67,7 +67,7 @@
 	}
 }
 
-func whole(pieces ...string) func(serve.Sink) {
+func complete(pieces ...string) func(serve.Sink) {
 	return func(sink serve.Sink) {
 		for _, p := range pieces {
 			if sink.Deliver([]byte(p), 1) != nil {
@@ -90,13 +90,13 @@
 
 var _ = Describe("API", func() {
 	var (
-		d      *doer
+		d      *fakeExecutor
 		a      *api.API
 		server *httptest.Server
 	)
 
 	BeforeEach(func() {
-		d = &doer{answer: whole("a", "b")}
+		d = &fakeExecutor{answer: complete("a", "b")}
 		a = api.New(testSettings(), d, noFleet{})
 		server = httptest.NewServer(a.Handler())
 		DeferCleanup(server.Close)
@@ -116,7 +116,7 @@
 		return resp, string(data)
 	}
 
-	refusal := func(resp *http.Response, body string) string {
+	rejection := func(resp *http.Response, body string) string {
 		GinkgoHelper()
 		parsed := struct {
 			Error struct {
@@ -132,7 +132,7 @@
 		return parsed.Error.Code
 	}
 
-	It("answers a completion once it is whole", func() {
+	It("responds to a completion once it is complete", func() {
 		resp, body := do(http.MethodPost, "/v1/completions", nil, `{"model":"draft","prompt":"x","max_tokens":2}`)
 		Expect(resp.StatusCode).To(Equal(http.StatusOK))
 		Expect(resp.Header.Get(verdict.Header)).To(Equal("ran"))
@@ -148,9 +148,9 @@
 		Expect(d.request().Generate.GetAdapter()).To(Equal("formal"))
 	})
 
-	// The engine is lost in the middle of a stream and no other can go on. A
-	// caller that only looks for the end of the transfer would take the first
-	// half of the draft for all of it.
+	// Guards against a truncated answer that looks complete: the engine is lost in
+	// the middle of a stream and no other can resume it. A caller that only checks
+	// for the end of the response must see an error.
 	It("aborts a stream that cannot be completed", func() {
 		d.answer = brokenAfter("half")
 		req := `{"model":"draft","prompt":"x","stream":true}`
@@ -164,9 +164,9 @@
 		Expect(string(body)).NotTo(ContainSubstring("[DONE]"))
 	})
 
-	// A request that does not stream fails half-way. What was received of its
-	// answer must not reach the caller.
-	It("sends nothing of an answer that is not whole", func() {
+	// Guards against a partial answer to a request that does not stream: it fails
+	// after some of its answer has been received.
+	It("sends nothing of an incomplete answer that is not streamed", func() {
 		d.answer = brokenAfter("half")
 		resp, body := do(http.MethodPost, "/v1/completions", nil, `{"model":"draft","prompt":"x"}`)
 		Expect(resp.StatusCode).To(Equal(http.StatusBadGateway))
@@ -174,11 +174,11 @@
 		Expect(body).NotTo(ContainSubstring("half"))
 	})
 
-	DescribeTable("refuses what it cannot understand",
+	DescribeTable("rejects invalid requests",
 		func(path, body string, header http.Header, status int, code verdict.Code) {
 			resp, answer := do(http.MethodPost, path, header, body)
 			Expect(resp.StatusCode).To(Equal(status), answer)
-			Expect(refusal(resp, answer)).To(Equal(string(code)))
+			Expect(rejection(resp, answer)).To(Equal(string(code)))
 			Expect(d.request()).To(BeNil())
 		},
 		Entry("no JSON", "/v1/completions", `{"model"`, nil, 400, verdict.CodeBadRequest),
@@ -197,14 +197,13 @@
 			http.Header{api.AccountHeader: {strings.Repeat("x", 200)}}, 400, verdict.CodeBadRequest),
 		Entry("no key", "/services/holds/holds", `{}`, nil, 400, verdict.CodeBadRequest),
 		Entry("two keys", "/services/holds/holds", `{}`, http.Header{api.KeyHeader: {"a", "b"}}, 400, verdict.CodeBadRequest),
-		Entry("key for a service that keeps none", "/services/lookup/x", `{}`,
+		Entry("key for a service without key slots", "/services/lookup/x", `{}`,
 			http.Header{api.KeyHeader: {"a"}}, 400, verdict.CodeBadRequest),
 	)
 
-	// A caller sends the headers and then only a trickle of its body. Without a
-	// limit each such caller holds a connection and its memory for as long as
-	// it likes.
-	It("gives up on a body that comes too slowly", func() {
+	// Guards against slow bodies: without a limit, each caller that sends its body
+	// too slowly occupies a connection and its memory for an unlimited time.
+	It("times out on a body that arrives too slowly", func() {
 		conn, err := net.Dial("tcp", strings.TrimPrefix(server.URL, "http://"))
 		Expect(err).NotTo(HaveOccurred())
 		defer conn.Close()
@@ -214,14 +213,14 @@
 		Expect(err).NotTo(HaveOccurred())
 		body, _ := io.ReadAll(resp.Body)
 		Expect(resp.StatusCode).To(Equal(http.StatusRequestTimeout))
-		Expect(refusal(resp, string(body))).To(Equal(string(verdict.CodeSlowBody)))
+		Expect(rejection(resp, string(body))).To(Equal(string(verdict.CodeSlowBody)))
 	})
 
-	// A caller asks for a large answer and never reads it. Without a limit the
-	// handler and the answer stay for as long as the connection does.
-	DescribeTable("gives up on a caller that does not read", func(path, body string) {
+	// Guards against callers that never read a large response: without a limit, the
+	// handler and the response stay in memory for as long as the connection is open.
+	DescribeTable("times out on a caller that does not read", func(path, body string) {
 		api.SetWriteTimeout(a, 100*time.Millisecond)
-		d.answer = whole(strings.Repeat("x", 32<<20))
+		d.answer = complete(strings.Repeat("x", 32<<20))
 		conn, err := net.Dial("tcp", strings.TrimPrefix(server.URL, "http://"))
 		Expect(err).NotTo(HaveOccurred())
 		defer conn.Close()
@@ -236,7 +235,7 @@
 		Entry("a call", "/services/holds/holds", `{}`),
 	)
 
-	It("passes a call on without the headers of the connection", func() {
+	It("forwards a call without hop-by-hop headers", func() {
 		header := http.Header{
 			api.KeyHeader: {"k"}, "Connection": {"X-Hop"}, "X-Hop": {"1"}, "X-Kept": {"2"}, api.AccountHeader: {"agency"},
 		}
@@ -256,22 +255,22 @@
 		}
 	})
 
-	It("takes the deadline from the caller, at most the limit", func() {
+	It("takes the deadline from the caller, up to the limit", func() {
 		for text, want := range map[string]time.Duration{"1.5s": 1500 * time.Millisecond, "2": 2 * time.Second, "9h": maxDeadline} {
 			do(http.MethodGet, "/services/lookup/x", http.Header{api.TimeoutHeader: {text}}, "")
 			Expect(time.Until(d.request().Deadline)).To(BeNumerically("~", want, 500*time.Millisecond), text)
 		}
 	})
 
-	// Requests pile up in an entry whose backend servers are slow. It refuses
-	// more than it has room for, at once, before it runs out of memory.
+	// Guards against running out of memory: requests accumulate in an entry whose
+	// backend servers are slow. Those above the limit are rejected immediately.
 	It("bounds the requests in flight", func() {
 		release := make(chan struct{})
 		entered := make(chan struct{}, 2)
 		d.answer = func(sink serve.Sink) {
 			entered <- struct{}{}
 			<-release
-			whole("a")(sink)
+			complete("a")(sink)
 		}
 		for range 2 {
 			go func() { _, _ = http.Get(server.URL + "/services/lookup/x") }()
@@ -280,14 +279,14 @@
 		resp, body := do(http.MethodGet, "/services/lookup/x", nil, "")
 		close(release)
 		Expect(resp.StatusCode).To(Equal(http.StatusServiceUnavailable))
-		Expect(refusal(resp, body)).To(Equal(string(verdict.CodeOverloaded)))
+		Expect(rejection(resp, body)).To(Equal(string(verdict.CodeOverloaded)))
 		Expect(resp.Header.Get("Retry-After")).To(Equal("1"))
 	})
 
-	// A caller keeps its connection and asks again after a pause. The limit on
-	// the time to read the first answer must not cut the second; net/http takes
-	// it back after each request.
-	It("limits each answer of a connection anew", func() {
+	// Guards against a write deadline that outlives its response: a caller reuses its
+	// connection after a pause. net/http resets the deadline after each request, so
+	// that of the first response must not cut the second.
+	It("applies the write deadline to each response of a connection separately", func() {
 		const limit = 100 * time.Millisecond
 		api.SetWriteTimeout(a, limit)
 		body := `{"model":"draft","prompt":"x","stream":true}`
@@ -308,8 +307,8 @@
 	})
 })
 
-// FuzzRequest sends what a caller may send. Whatever it is, the API either
-// hands on a request within its limits or refuses with "not run".
+// FuzzRequest checks that for any input the API either passes on a request within
+// its limits or rejects it with the verdict "not run".
 func FuzzRequest(f *testing.F) {
 	f.Add("POST", "/v1/completions", "1.5s", "k", "a", []byte(`{"model":"draft","prompt":"x","max_tokens":3}`))
 	f.Add("POST", "/v1/chat/completions", "2", "", "", []byte(`{"model":"draft","messages":[{"role":"user","content":"x"}]}`))
@@ -318,7 +317,7 @@
 	f.Add("POST", "/v1/completions", "NaN", "", "", []byte(`{"model":"draft","prompt":"x","max_tokens":1e99}`))
 	f.Add("POST", "/v1/chat/completions", "9223372036854775808", "", "", []byte(`{"model":"draft","messages":[null]}`))
 	f.Fuzz(func(t *testing.T, method, path, timeout, key, account string, body []byte) {
-		d := &doer{answer: whole("a")}
+		d := &fakeExecutor{answer: complete("a")}
 		handler := api.New(testSettings(), d, noFleet{}).Handler()
 		r, err := http.NewRequest(method, "http://x"+path, bytes.NewReader(body))
 		if err != nil || r.URL.Path == "" {
@@ -342,23 +341,23 @@
 func checkOutcome(t *testing.T, request *serve.Request, w *httptest.ResponseRecorder) {
 	t.Helper()
 	if request == nil {
-		refused := w.Header().Get(verdict.Header) == "not_run" && w.Code >= http.StatusBadRequest
+		rejected := w.Header().Get(verdict.Header) == "not_run" && w.Code >= http.StatusBadRequest
 		redirected := w.Code >= http.StatusMultipleChoices && w.Code < http.StatusBadRequest
-		if !refused && !redirected && w.Body.Len() == 0 {
-			t.Fatalf("neither handed on nor refused: %d %q", w.Code, w.Body)
+		if !rejected && !redirected && w.Body.Len() == 0 {
+			t.Fatalf("neither passed on nor rejected: status %d, body %q", w.Code, w.Body)
 		}
 		return
 	}
-	if left := time.Until(request.Deadline); left > maxDeadline {
-		t.Fatalf("deadline in %v", left)
+	if remaining := time.Until(request.Deadline); remaining > maxDeadline {
+		t.Fatalf("deadline in %v, which is above maxDeadline", remaining)
 	}
 	if len(request.Key) > 255 || len(request.Caller) > 128 || request.Caller == "" {
-		t.Fatalf("key of %d, account of %d bytes", len(request.Key), len(request.Caller))
+		t.Fatalf("key of %d bytes (limit 255), account of %d bytes (limit 128)", len(request.Key), len(request.Caller))
 	}
 	if g := request.Generate; g != nil && (g.GetModel() != "draft" || g.GetMaxTokens() < 1 || g.GetPrompt() == "") {
-		t.Fatalf("handed on %v", g)
+		t.Fatalf("passed on an invalid generate request: %v", g)
 	}
 	if c := request.Call; c != nil && !strings.HasPrefix(c.GetPath(), "/") {
-		t.Fatalf("path %q", c.GetPath())
+		t.Fatalf("call path %q does not start with /", c.GetPath())
 	}
 }
--- a/internal/entry/api/completions.go
+++ b/internal/entry/api/completions.go
@@ -16,62 +16,63 @@
 	"pistachioroad.dev/pistachioroad/internal/wire"
 )
 
-// defaultMaxTokens is the output limit of a request that names none.
+// defaultMaxTokens is the output limit of a request that sets none.
 const defaultMaxTokens = 256
 
-// generation is what the two kinds of completion have in common.
-type generation struct {
-	model     string
-	prompt    string
-	maxTokens int
-	stream    bool
-	usage     bool
-	chat      bool
+// generationParams holds the parameters common to completions and chat
+// completions.
+type generationParams struct {
+	model        string
+	prompt       string
+	maxTokens    int
+	stream       bool
+	includeUsage bool
+	chat         bool
 }
 
 func (a *API) completion(w http.ResponseWriter, r *http.Request, id uuid.UUID) {
 	body, err := a.readBody(w, r)
 	if err != nil {
-		refuse(w, id, err)
+		rejectRequest(w, id, err)
 		return
 	}
 	parsed, err := a.completions.parse(body)
 	if err != nil {
-		refuse(w, id, err)
+		rejectRequest(w, id, err)
 		return
 	}
-	a.generate(w, r, id, generation{
-		model:     parsed.Model,
-		prompt:    parsed.Prompt,
-		maxTokens: limitOf(parsed.MaxTokens),
-		stream:    parsed.Stream,
-		usage:     parsed.StreamOptions != nil && parsed.StreamOptions.IncludeUsage,
+	a.generate(w, r, id, generationParams{
+		model:        parsed.Model,
+		prompt:       parsed.Prompt,
+		maxTokens:    outputLimit(parsed.MaxTokens),
+		stream:       parsed.Stream,
+		includeUsage: parsed.StreamOptions != nil && parsed.StreamOptions.IncludeUsage,
 	})
 }
 
 func (a *API) chat(w http.ResponseWriter, r *http.Request, id uuid.UUID) {
 	body, err := a.readBody(w, r)
 	if err != nil {
-		refuse(w, id, err)
+		rejectRequest(w, id, err)
 		return
 	}
 	parsed, err := a.chats.parse(body)
 	if err != nil {
-		refuse(w, id, err)
+		rejectRequest(w, id, err)
 		return
 	}
-	a.generate(w, r, id, generation{
-		model:     parsed.Model,
-		prompt:    parsed.prompt(),
-		maxTokens: limitOf(parsed.MaxCompletionTokens, parsed.MaxTokens),
-		stream:    parsed.Stream,
-		usage:     parsed.StreamOptions != nil && parsed.StreamOptions.IncludeUsage,
-		chat:      true,
+	a.generate(w, r, id, generationParams{
+		model:        parsed.Model,
+		prompt:       parsed.prompt(),
+		maxTokens:    outputLimit(parsed.MaxCompletionTokens, parsed.MaxTokens),
+		stream:       parsed.Stream,
+		includeUsage: parsed.StreamOptions != nil && parsed.StreamOptions.IncludeUsage,
+		chat:         true,
 	})
 }
 
-// limitOf returns the first limit that is set.
-func limitOf(limits ...*int) int {
+// outputLimit returns the first limit that is set, or else defaultMaxTokens.
+func outputLimit(limits ...*int) int {
 	for _, limit := range limits {
 		if limit != nil {
 			return *limit
@@ -85,18 +86,19 @@
 	return readBody(w, r, limits.BodyBytes, limits.BodyTimeout)
 }
 
-func (a *API) generate(w http.ResponseWriter, r *http.Request, id uuid.UUID, g generation) {
-	request, err := a.generateRequest(r, id, g)
+func (a *API) generate(w http.ResponseWriter, r *http.Request, id uuid.UUID, g generationParams) {
+	request, err := a.newGenerateRequest(r, id, g)
 	if err != nil {
-		refuse(w, id, err)
+		rejectRequest(w, id, err)
 		return
 	}
-	a.answer(w, r, request, g)
+	a.respond(w, r, request, g)
 }
 
-// generateRequest builds the request. The name of a model may be followed by
-// that of an adapter, as in model:adapter.
-func (a *API) generateRequest(r *http.Request, id uuid.UUID, g generation) (*serve.Request, *verdict.Error) {
+// newGenerateRequest validates the parameters and headers and returns the request
+// to run. The model may be followed by the name of an adapter, as in
+// "model:adapter".
+func (a *API) newGenerateRequest(r *http.Request, id uuid.UUID, g generationParams) (*serve.Request, *verdict.Error) {
 	model, adapter, _ := strings.Cut(g.model, ":")
 	if !slices.Contains(a.settings.Models, model) {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeUnknownModel, "no such model: "+model)
@@ -105,7 +107,7 @@
 	if err != nil {
 		return nil, err
 	}
-	values := a.values(sharedstate.ServiceModels, model)
+	values := a.configValues(sharedstate.ServiceModels, model)
 	timeout, err := parseTimeout(r.Header, deadlineOf(values), a.settings.Limits.MaxDeadline)
 	if err != nil {
 		return nil, err
@@ -125,31 +127,33 @@
 			Model:        model,
 			Adapter:      adapter,
 			Prompt:       g.prompt,
-			PromptTokens: uint32(promptTokens(g.prompt)),
+			PromptTokens: uint32(estimateTokens(g.prompt)),
 			MaxTokens:    uint32(g.maxTokens),
 		},
 	}, nil
 }
 
-func promptTokens(prompt string) int {
+// estimateTokens estimates the number of prompt tokens from the prompt's size.
+func estimateTokens(prompt string) int {
 	return (len(prompt) + route.BytesPerToken - 1) / route.BytesPerToken
 }
 
-func (a *API) answer(w http.ResponseWriter, r *http.Request, request *serve.Request, g generation) {
-	shape := newShape(request, g)
+func (a *API) respond(w http.ResponseWriter, r *http.Request, request *serve.Request, g generationParams) {
+	responses := newResponseBuilder(request, g)
 	if !g.stream {
-		a.doer.Do(r.Context(), request, &plainSink{
-			w: w, shape: shape, id: request.ID.String(), writeTimeout: a.writeTimeout,
+		a.executor.Do(r.Context(), request, &bufferedSink{
+			w: w, responses: responses, id: request.ID.String(), writeTimeout: a.writeTimeout,
 		})
 		return
 	}
 	sink := &streamSink{
-		w: w, shape: shape, id: request.ID.String(), usage: g.usage, writeTimeout: a.writeTimeout,
+		w: w, responses: responses, id: request.ID.String(), includeUsage: g.includeUsage, writeTimeout: a.writeTimeout,
 	}
-	a.doer.Do(r.Context(), request, sink)
-	if sink.broken {
+	a.executor.Do(r.Context(), request, sink)
+	if sink.mustAbort {
 		brokenStreams.Inc(1)
-		// Without the abort the transfer would end like a whole one.
+		// Aborting the connection shows the caller that the response is incomplete.
+		// A normal return would end it like a complete one.
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -159,7 +163,7 @@
 	for _, m := range a.settings.Models {
 		list.Data = append(list.Data, modelEntry{ID: m, Object: "model", OwnedBy: "pistachioroad"})
 	}
-	w.Header().Set("Content-Type", jsonType)
+	w.Header().Set("Content-Type", jsonContentType)
 	_ = json.NewEncoder(w).Encode(list)
 }
 
--- a/internal/entry/api/errors.go
+++ b/internal/entry/api/errors.go
@@ -11,24 +11,24 @@
 
 // The headers of the callers' API.
 const (
-	// RequestIDHeader carries the id of the request in every answer.
+	// RequestIDHeader carries the id of the request in every response.
 	RequestIDHeader = "Pistachioroad-Request-Id"
-	// TimeoutHeader is the time that the caller gives the request, like 1.5s,
-	// or a count of seconds.
+	// TimeoutHeader is the caller's timeout for the request: a Go duration such as
+	// 1.5s, or a number of seconds.
 	TimeoutHeader = "Pistachioroad-Timeout"
 	// AccountHeader names the caller's account; the balancer sets it.
 	AccountHeader = "Pistachioroad-Account"
-	// ReplayedHeader says that the answer is the kept one of an earlier request
+	// ReplayedHeader marks a response as the stored result of an earlier request
 	// with the same idempotency key.
 	ReplayedHeader = "Pistachioroad-Replayed"
-	// KeyHeader is the standard header of the idempotency key.
+	// KeyHeader is the standard header for the idempotency key.
 	KeyHeader = "Idempotency-Key"
 )
 
-// statusClientClosed is the customary status for a caller that went away.
+// statusClientClosed is the conventional status for a caller that disconnected.
 const statusClientClosed = 499
 
-// errorBody is the body of every error.
+// errorBody is the body of every error response.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -38,11 +38,11 @@
 	Code      string `json:"code"`
 	Message   string `json:"message"`
 	RequestID string `json:"request_id"`
-	// RetryAfter is in seconds; left out where asking again makes no sense.
+	// RetryAfter is in seconds. It is omitted if a retry is not useful.
 	RetryAfter float64 `json:"retry_after_s,omitempty"`
 }
 
-func bodyOf(id string, err *verdict.Error) errorBody {
+func newErrorBody(id string, err *verdict.Error) errorBody {
 	return errorBody{Error: errorDetail{
 		Verdict:    err.Verdict.String(),
 		Code:       string(err.Code),
@@ -52,25 +52,27 @@
 	}}
 }
 
-// writeError answers a request of which nothing was sent yet.
+// writeError writes the error response. Nothing of the response may have been
+// written before.
 func writeError(w http.ResponseWriter, id string, err *verdict.Error) {
 	writeErrorStatus(w, id, err, statusOf(err.Code))
 }
 
 func writeErrorStatus(w http.ResponseWriter, id string, err *verdict.Error, status int) {
 	header := w.Header()
-	header.Set("Content-Type", jsonType)
+	header.Set("Content-Type", jsonContentType)
 	header.Set(RequestIDHeader, id)
 	header.Set(verdict.Header, err.Verdict.String())
 	if err.RetryAfter > 0 {
-		header.Set("Retry-After", retryAfter(err.RetryAfter))
+		header.Set("Retry-After", retryAfterSeconds(err.RetryAfter))
 	}
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(bodyOf(id, err))
+	_ = json.NewEncoder(w).Encode(newErrorBody(id, err))
 }
 
-// retryAfter rounds up to whole seconds, the header's unit.
-func retryAfter(d time.Duration) string {
+// retryAfterSeconds formats d for the Retry-After header, rounded up to whole
+// seconds.
+func retryAfterSeconds(d time.Duration) string {
 	return strconv.FormatInt(int64((d+time.Second-1)/time.Second), 10)
 }
 
@@ -103,7 +105,7 @@
 	}
 }
 
-// badRequest is the refusal of a request that cannot be understood.
+// badRequest returns the error for an invalid request.
 func badRequest(message string) *verdict.Error {
 	return verdict.New(verdict.NotRun, verdict.CodeBadRequest, message)
 }
--- a/internal/entry/api/export_test.go
+++ b/internal/entry/api/export_test.go
@@ -2,5 +2,5 @@
 
 import "time"
 
-// SetWriteTimeout shortens how long a caller may take to read.
+// SetWriteTimeout sets how long a caller may take to read.
 func SetWriteTimeout(a *API, d time.Duration) { a.writeTimeout = d }
--- a/internal/entry/api/parse.go
+++ b/internal/entry/api/parse.go
@@ -22,8 +22,8 @@
 const (
 	maxKeyLength     = 255
 	maxAccountLength = 128
-	// maxErrors bounds the faults of a body that are listed.
-	maxErrors = 5
+	// maxListedErrors bounds the validation errors listed in a response.
+	maxListedErrors = 5
 )
 
 // completionRequest is the body of POST /v1/completions.
@@ -59,7 +59,7 @@
 	IncludeUsage bool `json:"include_usage,omitempty"`
 }
 
-// prompt spells the conversation out for the model.
+// prompt formats the conversation as a text prompt for the model.
 func (c chatRequest) prompt() string {
 	text := strings.Builder{}
 	for _, m := range c.Messages {
@@ -72,7 +72,7 @@
 	return text.String()
 }
 
-// validator checks a body against the schema of T: unknown and missing fields,
+// validator validates a body against the schema of T: unknown and missing fields,
 // types, lengths and ranges.
 type validator[T any] struct {
 	registry huma.Registry
@@ -87,14 +87,14 @@
 	}
 }
 
-// parse returns the T in data.
+// parse validates data and decodes it into a T.
 //
-// Fields that are not known are refused: an option that is silently left out
-// gives an answer that its caller did not ask for.
+// Unknown fields are rejected: if an option were silently ignored, the caller
+// would get an answer that it did not ask for.
 func (v *validator[T]) parse(data []byte) (T, *verdict.Error) {
 	var parsed T
 	var generic any
-	if err := decodeOnly(data, &generic); err != nil {
+	if err := decodeSingle(data, &generic); err != nil {
 		return parsed, badRequest("body is not JSON: " + err.Error())
 	}
 	result := huma.ValidateResult{}
@@ -102,14 +102,14 @@
 	if len(result.Errors) > 0 {
 		return parsed, badRequest(listErrors(result.Errors))
 	}
-	if err := decodeOnly(data, &parsed); err != nil {
+	if err := decodeSingle(data, &parsed); err != nil {
 		return parsed, badRequest("body: " + err.Error())
 	}
 	return parsed, nil
 }
 
-// decodeOnly decodes data, which must hold one value and nothing after it.
-func decodeOnly(data []byte, into any) error {
+// decodeSingle decodes data, which must contain exactly one JSON value.
+func decodeSingle(data []byte, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	if err := decoder.Decode(into); err != nil {
 		return err
@@ -122,14 +122,15 @@
 
 func listErrors(faults []error) string {
 	texts := []string{}
-	for _, fault := range faults[:min(len(faults), maxErrors)] {
-		texts = append(texts, faultText(fault))
+	for _, fault := range faults[:min(len(faults), maxListedErrors)] {
+		texts = append(texts, errorText(fault))
 	}
 	return strings.Join(texts, "; ")
 }
 
-// faultText leaves out the value at fault: that can be the whole prompt.
-func faultText(fault error) string {
+// errorText returns the text of a validation error without the invalid value,
+// which can be the whole prompt.
+func errorText(fault error) string {
 	var detail *huma.ErrorDetail
 	if errors.As(fault, &detail) {
 		return detail.Message + " (" + detail.Location + ")"
@@ -137,8 +138,8 @@
 	return fault.Error()
 }
 
-// parseTimeout returns the caller's time for the request, at most limit;
-// fallback without the header.
+// parseTimeout returns the timeout in the caller's header, or fallback without the
+// header, and at most limit.
 func parseTimeout(header http.Header, fallback, limit time.Duration) (time.Duration, *verdict.Error) {
 	text := header.Get(TimeoutHeader)
 	if text == "" {
@@ -148,7 +149,8 @@
 	if err != nil {
 		var s float64
 		s, err = strconv.ParseFloat(text, 64)
-		// The comparison is also false for NaN.
+		// Clamp to limit, which also prevents overflow in the conversion. The
+		// comparison is false for NaN, so NaN is clamped as well.
 		if err == nil && !(math.Abs(s) <= limit.Seconds()) {
 			s = math.Copysign(limit.Seconds(), s)
 		}
@@ -160,20 +162,20 @@
 	return min(timeout, limit), nil
 }
 
-// parseKey returns the idempotency key, "" without the header.
+// parseKey returns the idempotency key, or "" without the header.
 func parseKey(header http.Header) (string, *verdict.Error) {
 	values := header.Values(KeyHeader)
 	if len(values) == 0 {
 		return "", nil
 	}
-	if len(values) > 1 || values[0] == "" || len(values[0]) > maxKeyLength || !printable(values[0]) {
+	if len(values) > 1 || values[0] == "" || len(values[0]) > maxKeyLength || !isPrintableASCII(values[0]) {
 		return "", badRequest(KeyHeader + ": want one value of 1 to 255 printable ASCII characters")
 	}
 	return values[0], nil
 }
 
-// parseAccount returns the caller's account: the header that the balancer
-// sets, or else the caller's address.
+// parseAccount returns the caller's account from the header that the balancer
+// sets, or the caller's IP address without it.
 func parseAccount(r *http.Request) (string, *verdict.Error) {
 	account := r.Header.Get(AccountHeader)
 	if account == "" {
@@ -183,13 +185,13 @@
 		}
 		return host, nil
 	}
-	if len(account) > maxAccountLength || !printable(account) {
+	if len(account) > maxAccountLength || !isPrintableASCII(account) {
 		return "", badRequest(AccountHeader + ": want 1 to 128 printable ASCII characters")
 	}
 	return account, nil
 }
 
-func printable(s string) bool {
+func isPrintableASCII(s string) bool {
 	for i := range len(s) {
 		if s[i] < ' ' || s[i] > '~' {
 			return false
@@ -198,13 +200,14 @@
 	return true
 }
 
-// readBody reads the whole body within the limits of size and time.
+// readBody reads the body, which must not exceed the size limit and must arrive
+// within timeout.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64, timeout time.Duration) ([]byte, *verdict.Error) {
 	controller := http.NewResponseController(w)
 	_ = controller.SetReadDeadline(time.Now().Add(timeout))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	if err == nil {
-		// net/http goes on reading, to see when the caller leaves.
+		// net/http continues to read, to detect that the caller disconnects.
 		_ = controller.SetReadDeadline(time.Time{})
 		return body, nil
 	}
--- a/internal/entry/api/shape.go
+++ b/internal/entry/api/response.go
@@ -7,7 +7,7 @@
 	"pistachioroad.dev/pistachioroad/internal/entry/serve"
 )
 
-// completion is an answer in the OpenAI shape, whole or one piece of it.
+// completion is an OpenAI-compatible response body, or one event of a stream.
 type completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -19,8 +19,8 @@
 
 type choice struct {
 	Index int `json:"index"`
-	// Text, Message and Delta belong to a completion, to a whole chat
-	// completion and to a piece of one.
+	// Text is set in completions, Message in chat completions that are not
+	// streamed, and Delta in the events of streamed ones.
 	Text         *string      `json:"text,omitempty"`
 	Message      *chatMessage `json:"message,omitempty"`
 	Delta        *chatMessage `json:"delta,omitempty"`
@@ -43,14 +43,14 @@
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// shape builds the answers of one request.
-type shape struct {
+// responseBuilder builds the response bodies of one request.
+type responseBuilder struct {
 	base completion
 	chat bool
 }
 
-func newShape(request *serve.Request, g generation) shape {
-	s := shape{chat: g.chat, base: completion{Created: time.Now().Unix(), Model: g.model}}
+func newResponseBuilder(request *serve.Request, g generationParams) responseBuilder {
+	s := responseBuilder{chat: g.chat, base: completion{Created: time.Now().Unix(), Model: g.model}}
 	if g.chat {
 		s.base.ID = "chatcmpl-" + request.ID.String()
 	} else {
@@ -59,8 +59,8 @@
 	return s
 }
 
-// whole returns the answer of a request that does not stream.
-func (s shape) whole(text string, f call.Finish) completion {
+// fullResponse returns the response of a request that does not stream.
+func (s responseBuilder) fullResponse(text string, f call.Finish) completion {
 	answer := s.base
 	reason := f.Final.GetFinishReason()
 	answer.Object = "text_completion"
@@ -70,12 +70,13 @@
 		c = choice{Message: &chatMessage{Role: "assistant", Content: text}, FinishReason: &reason}
 	}
 	answer.Choices = []choice{c}
-	answer.Usage = usageOf(f)
+	answer.Usage = newUsage(f)
 	return answer
 }
 
-// piece returns one event of a stream; reason is nil but in the last.
-func (s shape) piece(text string, first bool, reason *string) completion {
+// chunk returns one event of a stream. Reason is the finish reason in the last
+// event, and nil before.
+func (s responseBuilder) chunk(text string, first bool, reason *string) completion {
 	answer := s.base
 	answer.Object = "text_completion"
 	c := choice{Text: &text, FinishReason: reason}
@@ -91,15 +92,15 @@
 	return answer
 }
 
-// usageOnly returns the event that reports the usage of a stream.
-func (s shape) usageOnly(f call.Finish) completion {
-	answer := s.piece("", false, nil)
+// usageChunk returns the event that reports the token usage of a stream.
+func (s responseBuilder) usageChunk(f call.Finish) completion {
+	answer := s.chunk("", false, nil)
 	answer.Choices = []choice{}
-	answer.Usage = usageOf(f)
+	answer.Usage = newUsage(f)
 	return answer
 }
 
-func usageOf(f call.Finish) *usage {
+func newUsage(f call.Finish) *usage {
 	prompt := int(f.Final.GetPromptTokens())
 	return &usage{
 		PromptTokens:        prompt,
--- a/internal/entry/api/services.go
+++ b/internal/entry/api/services.go
@@ -19,33 +19,34 @@
 
 const servicesPath = "/services/"
 
-// service serves a call of a plain service.
+// service handles a call of a plain service.
 func (a *API) service(w http.ResponseWriter, r *http.Request, id uuid.UUID) {
 	name := r.PathValue("service")
 	service, ok := a.settings.Services[name]
 	if !ok {
-		refuse(w, id, verdict.New(verdict.NotRun, verdict.CodeUnknownService, "no such service: "+name))
+		rejectRequest(w, id, verdict.New(verdict.NotRun, verdict.CodeUnknownService, "no such service: "+name))
 		return
 	}
 	body, err := a.readBody(w, r)
 	if err != nil {
-		refuse(w, id, err)
+		rejectRequest(w, id, err)
 		return
 	}
-	request, err := a.callRequest(r, id, name, service, body)
+	request, err := a.newCallRequest(r, id, name, service, body)
 	if err != nil {
-		refuse(w, id, err)
+		rejectRequest(w, id, err)
 		return
 	}
-	a.doer.Do(r.Context(), request, &callSink{w: w, id: id.String(), writeTimeout: a.writeTimeout})
+	a.executor.Do(r.Context(), request, &callSink{w: w, id: id.String(), writeTimeout: a.writeTimeout})
 }
 
-func (a *API) callRequest(r *http.Request, id uuid.UUID, name string, service settings.Service, body []byte) (*serve.Request, *verdict.Error) {
+// newCallRequest validates the headers and returns the request to run.
+func (a *API) newCallRequest(r *http.Request, id uuid.UUID, name string, service settings.Service, body []byte) (*serve.Request, *verdict.Error) {
 	account, err := parseAccount(r)
 	if err != nil {
 		return nil, err
 	}
-	values := a.values(name, "")
+	values := a.configValues(name, "")
 	fallback := service.Deadline
 	if fallback <= 0 {
 		fallback = deadlineOf(values)
@@ -54,8 +55,8 @@
 	if err != nil {
 		return nil, err
 	}
-	idempotent := safeMethod(r.Method) || (values.Idempotent != nil && *values.Idempotent)
-	key, err := keyFor(r.Header, service, idempotent)
+	idempotent := isSafeMethod(r.Method) || (values.Idempotent != nil && *values.Idempotent)
+	key, err := idempotencyKey(r.Header, service, idempotent)
 	if err != nil {
 		return nil, err
 	}
@@ -72,14 +73,15 @@
 		Call: &wire.Call{
 			Method:  r.Method,
 			Path:    target,
-			Headers: wireHeaders(r.Header),
+			Headers: forwardedHeaders(r.Header),
 			Body:    body,
 		},
 	}, nil
 }
 
-// keyFor returns the idempotency key of a call that may not be repeated.
-func keyFor(header http.Header, service settings.Service, idempotent bool) (string, *verdict.Error) {
+// idempotencyKey returns the idempotency key of a call. It is "" without the header,
+// and for an idempotent call, which needs none.
+func idempotencyKey(header http.Header, service settings.Service, idempotent bool) (string, *verdict.Error) {
 	key, err := parseKey(header)
 	if err != nil || idempotent {
 		return "", err
@@ -93,13 +95,14 @@
 	return key, nil
 }
 
-// safeMethod reports whether HTTP defines the method as free of effects.
-func safeMethod(method string) bool {
+// isSafeMethod reports whether HTTP defines the method as safe, which means that it
+// has no side effects.
+func isSafeMethod(method string) bool {
 	return method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions
 }
 
-// callPath is the path and query as the service sees them: what follows
-// /services/{service}.
+// callPath returns the path and query to send to the service: the part of the URL
+// after /services/{service}.
 func callPath(r *http.Request) string {
 	path := strings.TrimPrefix(r.URL.EscapedPath(), servicesPath)
 	path = path[strings.IndexByte(path, '/'):]
@@ -109,6 +112,7 @@
 	return path
 }
 
+// callDigest returns a hash that distinguishes calls with the same idempotency key.
 func callDigest(method, path string, body []byte) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(method + " " + path + "\n")
@@ -116,8 +120,9 @@
 	return digest.Sum64()
 }
 
-// hopByHop are the headers that belong to one connection only.
-var hopByHop = map[string]bool{
+// hopByHopHeaders are the headers that apply to a single connection and are not
+// forwarded.
+var hopByHopHeaders = map[string]bool{
 	"Connection":          true,
 	"Keep-Alive":          true,
 	"Proxy-Authenticate":  true,
@@ -130,15 +135,16 @@
 	"Content-Length":      true,
 }
 
-// ownPrefix begins the headers between callers and the entry.
-const ownPrefix = "Pistachioroad-"
+// internalHeaderPrefix is the prefix of the headers exchanged between callers and
+// the entry, which are not forwarded either.
+const internalHeaderPrefix = "Pistachioroad-"
 
-// wireHeaders returns the headers that go on to the service.
-func wireHeaders(header http.Header) []*wire.Header {
+// forwardedHeaders returns the headers to forward to the service.
+func forwardedHeaders(header http.Header) []*wire.Header {
 	dropped := connectionHeaders(header)
 	headers := []*wire.Header{}
 	for name, values := range header {
-		if hopByHop[name] || dropped[name] || strings.HasPrefix(name, ownPrefix) {
+		if hopByHopHeaders[name] || dropped[name] || strings.HasPrefix(name, internalHeaderPrefix) {
 			continue
 		}
 		for _, v := range values {
@@ -148,7 +154,8 @@
 	return headers
 }
 
-// connectionHeaders are those that the Connection header declares hop-by-hop.
+// connectionHeaders returns the headers that the Connection header declares as
+// hop-by-hop.
 func connectionHeaders(header http.Header) map[string]bool {
 	dropped := map[string]bool{}
 	for _, value := range header.Values("Connection") {
@@ -159,7 +166,8 @@
 	return dropped
 }
 
-// callSink answers once the service's answer is whole.
+// callSink buffers the service's answer and writes the response once it is
+// complete.
 type callSink struct {
 	w    http.ResponseWriter
 	id   string
@@ -180,7 +188,7 @@
 	closing := header.Get("Connection")
 	for _, h := range f.Final.GetHeaders() {
 		name := textproto.CanonicalMIMEHeaderKey(h.GetName())
-		if !hopByHop[name] && !strings.HasPrefix(name, ownPrefix) {
+		if !hopByHopHeaders[name] && !strings.HasPrefix(name, internalHeaderPrefix) {
 			header.Add(name, h.GetValue())
 		}
 	}
@@ -191,15 +199,15 @@
 	if f.Final.GetReplayed() {
 		header.Set(ReplayedHeader, "true")
 	}
-	// A transfer that breaks is then shorter than it says.
+	// With the length, the caller can detect a truncated response.
 	header.Set("Content-Length", strconv.Itoa(len(s.body)))
-	limitWrite(s.w, s.writeTimeout)
-	s.w.WriteHeader(statusFrom(f.Final.GetStatus()))
+	setWriteDeadline(s.w, s.writeTimeout)
+	s.w.WriteHeader(validStatus(f.Final.GetStatus()))
 	_, _ = s.w.Write(s.body)
 }
 
-// statusFrom guards against a status that net/http cannot write.
-func statusFrom(status uint32) int {
+// validStatus replaces a status that net/http cannot write as a final one with 502.
+func validStatus(status uint32) int {
 	if status < http.StatusOK || status > 999 {
 		return http.StatusBadGateway
 	}
--- a/internal/entry/api/sink.go
+++ b/internal/entry/api/sink.go
@@ -12,82 +12,84 @@
 	"pistachioroad.dev/pistachioroad/internal/verdict"
 )
 
-// limitWrite gives the caller a limited time to read what is written next.
-func limitWrite(w http.ResponseWriter, timeout time.Duration) {
+// setWriteDeadline limits how long the caller may take to read the next write.
+func setWriteDeadline(w http.ResponseWriter, timeout time.Duration) {
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(timeout))
 }
 
-// plainSink answers once the text is whole.
-type plainSink struct {
-	w     http.ResponseWriter
-	shape shape
-	id    string
-	text  strings.Builder
+// bufferedSink buffers the text and writes the response once it is complete.
+type bufferedSink struct {
+	w         http.ResponseWriter
+	responses responseBuilder
+	id        string
+	text      strings.Builder
 
 	writeTimeout time.Duration
 }
 
 // Deliver implements serve.Sink.
-func (s *plainSink) Deliver(data []byte, _ uint32) error {
+func (s *bufferedSink) Deliver(data []byte, _ uint32) error {
 	s.text.Write(data)
 	return nil
 }
 
 // Finish implements serve.Sink.
-func (s *plainSink) Finish(f call.Finish) {
-	s.w.Header().Set("Content-Type", jsonType)
+func (s *bufferedSink) Finish(f call.Finish) {
+	s.w.Header().Set("Content-Type", jsonContentType)
 	s.w.Header().Set(verdict.Header, verdict.Ran.String())
-	limitWrite(s.w, s.writeTimeout)
-	_ = json.NewEncoder(s.w).Encode(s.shape.whole(s.text.String(), f))
+	setWriteDeadline(s.w, s.writeTimeout)
+	_ = json.NewEncoder(s.w).Encode(s.responses.fullResponse(s.text.String(), f))
 }
 
 // Fail implements serve.Sink.
-func (s *plainSink) Fail(err *verdict.Error) { writeError(s.w, s.id, err) }
+func (s *bufferedSink) Fail(err *verdict.Error) { writeError(s.w, s.id, err) }
 
-// streamSink sends each piece as a server-sent event.
+// streamSink sends each piece of the answer as a server-sent event.
 type streamSink struct {
-	w     http.ResponseWriter
-	shape shape
-	id    string
-	usage bool
+	w            http.ResponseWriter
+	responses    responseBuilder
+	id           string
+	includeUsage bool
 
 	writeTimeout time.Duration
 
-	begun bool
-	// broken says that the transfer must be aborted.
-	broken bool
+	headersSent bool
+	// mustAbort reports that the answer is incomplete and the connection has to be
+	// aborted.
+	mustAbort bool
 }
 
 // Deliver implements serve.Sink.
 func (s *streamSink) Deliver(data []byte, _ uint32) error {
-	first := !s.begun
-	s.begin()
-	return s.send("", s.shape.piece(string(data), first, nil))
+	first := !s.headersSent
+	s.sendHeaders()
+	return s.sendEvent("", s.responses.chunk(string(data), first, nil))
 }
 
-// begin sends the headers. They wait for the first piece, so that a request
-// that is refused before gets a status of its own.
-func (s *streamSink) begin() {
-	if s.begun {
+// sendHeaders sends the headers before the first event. Until then a failed
+// request can still get an error status.
+func (s *streamSink) sendHeaders() {
+	if s.headersSent {
 		return
 	}
-	s.begun = true
+	s.headersSent = true
 	header := s.w.Header()
 	header.Set("Content-Type", "text/event-stream")
 	header.Set("Cache-Control", "no-store")
 	s.w.WriteHeader(http.StatusOK)
 }
 
-// send writes one event at once.
-func (s *streamSink) send(event string, body any) error {
+// sendEvent encodes body and writes it as one event.
+func (s *streamSink) sendEvent(event string, body any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return eris.Wrap(err, "encode event")
 	}
-	return s.write(event, data)
+	return s.writeEvent(event, data)
 }
 
-func (s *streamSink) write(event string, data []byte) error {
+// writeEvent writes and flushes one event.
+func (s *streamSink) writeEvent(event string, data []byte) error {
 	buffer := make([]byte, 0, len(event)+len(data)+len("event: \ndata: \n\n"))
 	if event != "" {
 		buffer = append(buffer, "event: "+event+"\n"...)
@@ -95,9 +97,9 @@
 	buffer = append(buffer, "data: "...)
 	buffer = append(buffer, data...)
 	buffer = append(buffer, "\n\n"...)
-	limitWrite(s.w, s.writeTimeout)
+	setWriteDeadline(s.w, s.writeTimeout)
 	if _, err := s.w.Write(buffer); err != nil {
-		s.broken = true
+		s.mustAbort = true
 		return eris.Wrap(err, "write event")
 	}
 	return eris.Wrap(http.NewResponseController(s.w).Flush(), "flush event")
@@ -105,26 +107,26 @@
 
 // Finish implements serve.Sink.
 func (s *streamSink) Finish(f call.Finish) {
-	first := !s.begun
-	s.begin()
+	first := !s.headersSent
+	s.sendHeaders()
 	reason := f.Final.GetFinishReason()
-	if s.send("", s.shape.piece("", first, &reason)) != nil {
+	if s.sendEvent("", s.responses.chunk("", first, &reason)) != nil {
 		return
 	}
-	if s.usage && s.send("", s.shape.usageOnly(f)) != nil {
+	if s.includeUsage && s.sendEvent("", s.responses.usageChunk(f)) != nil {
 		return
 	}
-	_ = s.write("", []byte("[DONE]"))
+	_ = s.writeEvent("", []byte("[DONE]"))
 }
 
-// Fail implements serve.Sink. A stream that has begun ends with an error event
-// and an aborted transfer: a caller that ignores the event still sees that the
-// answer is not whole.
+// Fail implements serve.Sink. If the headers have been sent, it sends an error
+// event and has the connection aborted: a caller that ignores the event still
+// detects that the answer is incomplete.
 func (s *streamSink) Fail(err *verdict.Error) {
-	if !s.begun {
+	if !s.headersSent {
 		writeError(s.w, s.id, err)
 		return
 	}
-	s.broken = true
-	_ = s.send("error", bodyOf(s.id, err))
+	s.mustAbort = true
+	_ = s.sendEvent("error", newErrorBody(s.id, err))
 }
--- a/internal/entry/links/conn.go
+++ b/internal/entry/links/conn.go
@@ -16,33 +16,35 @@
 )
 
 const (
-	// helloTimeout bounds the wait for the other end's Hello.
+	// helloTimeout bounds the wait for the sidecar's Hello.
 	helloTimeout = time.Second
-	// controlQueue is how many control frames may wait to be sent. Objects
-	// are few; a queue that fills up belongs to a silent connection.
-	controlQueue = 64
+	// controlQueueSize bounds the queue of outgoing control frames. There are few
+	// objects, so the queue fills up only on a silent connection.
+	controlQueueSize = 64
 )
 
-// Conn is one connection to a sidecar whose Hello has arrived. Any goroutine
-// may use it.
+// Conn is a connection to a sidecar on which the Hello exchange has completed.
+// It is safe for concurrent use.
 type Conn struct {
 	session     *link.Session
 	control     *wire.Conn
 	outbox      *ring.Ring[*wire.Frame]
 	incarnation string
 
-	// clockOffset is the sidecar's clock minus this process's, at most.
+	// clockOffset is the largest lower bound seen of the sidecar's clock minus
+	// this process's, in microseconds; math.MinInt64 until one is known.
 	clockOffset atomic.Int64
 
-	silence sync.Once
-	silent  chan struct{}
+	silentOnce sync.Once
+	silent     chan struct{}
 }
 
-// started is the origin of this process's clock.
-var started = time.Now()
+// clockOrigin is the origin of this process's clock.
+var clockOrigin = time.Now()
 
-// clock returns this process's monotonic clock in microseconds, never 0.
-func clock() int64 { return time.Since(started).Microseconds() + 1 }
+// clockMicros returns this process's monotonic clock in microseconds. It is never
+// 0, which means "not set" on the wire.
+func clockMicros() int64 { return time.Since(clockOrigin).Microseconds() + 1 }
 
 // connect dials address and exchanges Hello.
 func connect(ctx context.Context, address string, self *wire.Hello) (*Conn, error) {
@@ -51,7 +53,7 @@
 		return nil, err
 	}
 	self = proto.Clone(self).(*wire.Hello)
-	self.ClockUs = clock()
+	self.ClockUs = clockMicros()
 	hello, control, err := exchangeHello(ctx, session, self)
 	if err != nil {
 		_ = session.Close()
@@ -60,21 +62,23 @@
 	conn := &Conn{
 		session:     session,
 		control:     control,
-		outbox:      ring.New[*wire.Frame]("link.control", controlQueue, ring.Reject),
+		outbox:      ring.New[*wire.Frame]("link.control", controlQueueSize, ring.Reject),
 		incarnation: hello.GetIncarnation(),
 		silent:      make(chan struct{}),
 	}
 	conn.clockOffset.Store(math.MinInt64)
-	conn.heardClock(hello.GetClockUs())
+	conn.observePeerClock(hello.GetClockUs())
 	return conn, nil
 }
 
-// heardClock takes in what the sidecar's clock showed when it sent a frame.
-func (c *Conn) heardClock(us int64) {
+// observePeerClock updates clockOffset with the sidecar's clock at the time it
+// sent a frame. The network latency makes the difference to the local clock a
+// lower bound.
+func (c *Conn) observePeerClock(us int64) {
 	if us == 0 {
 		return
 	}
-	offset := us - clock()
+	offset := us - clockMicros()
 	for {
 		before := c.clockOffset.Load()
 		if offset <= before || c.clockOffset.CompareAndSwap(before, offset) {
@@ -83,19 +87,19 @@
 	}
 }
 
-// PeerClock returns what the sidecar's clock shows now, at most; 0 when that
-// is not known.
+// PeerClock returns a lower bound of the sidecar's current clock in microseconds,
+// or 0 if it is not known.
 func (c *Conn) PeerClock() int64 {
 	offset := c.clockOffset.Load()
 	if offset == math.MinInt64 {
 		return 0
 	}
-	return max(1, clock()+offset)
+	return max(1, clockMicros()+offset)
 }
 
 func exchangeHello(ctx context.Context, session *link.Session, self *wire.Hello) (*wire.Hello, *wire.Conn, error) {
-	// A process that is paused still accepts connections through its kernel.
-	// Closing the session is what ends the wait for its Hello.
+	// The kernel of a paused process still accepts connections. Closing the
+	// session on timeout unblocks the wait for its Hello.
 	timeout, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
 	stop := context.AfterFunc(timeout, func() { _ = session.Close() })
@@ -118,14 +122,15 @@
 	return frame.GetHello(), control, nil
 }
 
-// Incarnation identifies the start of the sidecar's process.
+// Incarnation returns the id of the sidecar's process start. It changes with each
+// restart.
 func (c *Conn) Incarnation() string { return c.incarnation }
 
 // Open opens a stream for an attempt or a Resolve.
 func (c *Conn) Open() (*wire.Conn, error) { return c.session.Open() }
 
-// Silent is closed once the connection has been silent for link.SilentAfter or
-// has ended.
+// Silent returns a channel that is closed once no frame has arrived for
+// link.SilentAfter, or the connection has been replaced or closed.
 func (c *Conn) Silent() <-chan struct{} { return c.silent }
 
 func (c *Conn) isSilent() bool {
@@ -137,24 +142,24 @@
 	}
 }
 
-// busy reports whether a stream besides the control stream is open.
-func (c *Conn) busy() bool { return c.session.Streams() > 1 }
+// hasOpenStreams reports whether a stream other than the control stream is open.
+func (c *Conn) hasOpenStreams() bool { return c.session.Streams() > 1 }
 
-func (c *Conn) markSilent() { c.silence.Do(func() { close(c.silent) }) }
+func (c *Conn) markSilent() { c.silentOnce.Do(func() { close(c.silent) }) }
 
-// close ends the connection and all of its streams.
+// close closes the connection and all of its streams.
 func (c *Conn) close() {
 	c.markSilent()
 	_ = c.session.Close()
 }
 
-// send queues a control frame. A full queue drops it: heartbeats and versions
-// are repeated.
+// send queues a control frame. If the queue is full the frame is dropped:
+// heartbeats and versions are sent again periodically.
 func (c *Conn) send(f *wire.Frame) { c.outbox.Put(f) }
 
-// write sends the queued control frames until the connection ends. It has a
-// goroutine of its own because a silent connection blocks the writer.
-func (c *Conn) write() {
+// writeLoop sends the queued control frames until the connection ends. It runs in
+// its own goroutine because a write to a silent connection may block.
+func (c *Conn) writeLoop() {
 	for {
 		select {
 		case <-c.session.Done():
@@ -167,16 +172,16 @@
 	}
 }
 
-// read passes control frames to inbox until the connection ends, then a nil
-// frame.
-func (c *Conn) read(ctx context.Context, inbox chan<- inbound) {
+// readLoop passes received control frames to inbox until the connection ends, and
+// then a nil frame.
+func (c *Conn) readLoop(ctx context.Context, inbox chan<- inboundFrame) {
 	for {
 		frame, err := c.control.Receive()
 		if err != nil {
 			frame = nil
 		}
 		select {
-		case inbox <- inbound{conn: c, frame: frame}:
+		case inbox <- inboundFrame{conn: c, frame: frame}:
 		case <-ctx.Done():
 			return
 		}
@@ -186,7 +191,8 @@
 	}
 }
 
-type inbound struct {
+// inboundFrame is a control frame received on conn.
+type inboundFrame struct {
 	conn *Conn
 	// frame is nil when the connection has ended.
 	frame *wire.Frame
--- a/internal/entry/links/export_test.go
+++ b/internal/entry/links/export_test.go
@@ -1,6 +1,6 @@
 package links
 
-// Subset and Tick are what the tests see of the package's inside.
+// Subset and Tick export internals for the tests.
 var Subset = subset
 
-const Tick = tick
+const Tick = tickInterval
--- a/internal/entry/links/frames.go
+++ b/internal/entry/links/frames.go
@@ -9,11 +9,11 @@
 	"pistachioroad.dev/pistachioroad/internal/wire"
 )
 
-func (l *Link) versions() *wire.Frame {
+func (l *Link) versionsFrame() *wire.Frame {
 	return &wire.Frame{Body: &wire.Frame_Versions{Versions: l.objects.Versions()}}
 }
 
-func (l *Link) receive(ctx context.Context, now time.Time, in inbound) {
+func (l *Link) handleInbound(ctx context.Context, now time.Time, in inboundFrame) {
 	if in.conn != l.current.Load() {
 		return
 	}
@@ -24,53 +24,54 @@
 		l.dial(ctx)
 		return
 	}
-	l.heard = now
+	l.lastFrameAt = now
 	l.peer.Store(&Peer{LastFrameAt: now, Versions: l.Peer().Versions})
-	l.handle(in.conn, in.frame)
+	l.handleFrame(in.conn, in.frame)
 }
 
-// handle takes a control frame. Slots are not among them: the plan says who
-// owns a key slot, and a sidecar that does not own it yet refuses.
-func (l *Link) handle(conn *Conn, frame *wire.Frame) {
+// handleFrame processes a control frame. There is none for key slots: the plan
+// assigns their owners, and a sidecar rejects requests for a slot that it does not
+// own yet.
+func (l *Link) handleFrame(conn *Conn, frame *wire.Frame) {
 	switch body := frame.GetBody().(type) {
 	case *wire.Frame_Heartbeat:
-		conn.heardClock(body.Heartbeat.GetClockUs())
+		conn.observePeerClock(body.Heartbeat.GetClockUs())
 		l.setState(stateOf(body.Heartbeat))
 	case *wire.Frame_Load:
 		l.report(Report{Load: body.Load})
 	case *wire.Frame_CacheEvents:
 		l.report(Report{Events: body.CacheEvents})
 	case *wire.Frame_Versions:
-		// What it does not have by now was lost on its way, and is sent again.
-		clear(l.sent)
-		l.peer.Store(&Peer{LastFrameAt: l.heard, Versions: body.Versions.GetVersions()})
+		// Objects that it still lacks were lost in transit and are sent again.
+		clear(l.sentVersions)
+		l.peer.Store(&Peer{LastFrameAt: l.lastFrameAt, Versions: body.Versions.GetVersions()})
 		l.objects.SetPeerVersions(l.server.Name, body.Versions)
-		l.push()
+		l.pushObjects()
 	case *wire.Frame_Object:
 		o := body.Object
 		l.objects.Offer(sharedstate.Object{Name: o.GetName(), Version: o.GetVersion(), Value: o.GetValue()})
 	}
 }
 
-// push sends the objects that the sidecar lacks. It does not wait for the
-// sidecar's next Versions: a change is to be in force within seconds.
-func (l *Link) push() {
+// pushObjects sends the objects that the sidecar lacks. It does not wait for the
+// sidecar's next Versions, because a change has to be active within seconds.
+func (l *Link) pushObjects() {
 	conn := l.current.Load()
 	if conn == nil {
 		return
 	}
-	told := l.Peer().Versions
-	if told == nil {
-		// It has not said yet what it has; its Versions come after its Hello.
+	reported := l.Peer().Versions
+	if reported == nil {
+		// The sidecar sends its first Versions after its Hello.
 		return
 	}
-	known := maps.Clone(told)
-	for name, version := range l.sent {
+	known := maps.Clone(reported)
+	for name, version := range l.sentVersions {
 		known[name] = max(known[name], version)
 	}
 	for _, o := range l.objects.Newer(&wire.Versions{Versions: known}) {
 		conn.send(&wire.Frame{Body: &wire.Frame_Object{Object: o}})
-		l.sent[o.GetName()] = o.GetVersion()
+		l.sentVersions[o.GetName()] = o.GetVersion()
 	}
 }
 
--- a/internal/entry/links/link.go
+++ b/internal/entry/links/link.go
@@ -1,6 +1,6 @@
-// Package links keeps one link to each sidecar: it dials, exchanges heartbeats
-// and objects, notices silence and opens a second connection beside a silent
-// one.
+// Package links maintains one link to each of a set of sidecars: it dials,
+// exchanges heartbeats and objects, detects silent connections and opens a second
+// connection when one is silent.
 package links
 
 import (
@@ -19,35 +19,36 @@
 )
 
 const (
-	// tick is how often a link looks at its timers.
-	tick = 250 * time.Millisecond
-	// versionsEvery is how many heartbeats pass between two Versions.
-	versionsEvery = 5
-	// oldLinger is how long a silent connection is kept beside its successor,
-	// so that an answer that was only delayed can still arrive.
-	oldLinger = 2 * link.SilentAfter
-	// backoffMin and backoffMax bound the wait before the next dial.
+	// tickInterval is how often links check their timers and the pool its links.
+	tickInterval = 250 * time.Millisecond
+	// heartbeatsPerVersions is the number of heartbeats per Versions frame.
+	heartbeatsPerVersions = 5
+	// retiredLinger is how long a silent connection stays open after it has been
+	// replaced, so that an answer that was only delayed can still arrive.
+	retiredLinger = 2 * link.SilentAfter
+	// backoffMin and backoffMax bound the delay after a failed dial.
 	backoffMin = 50 * time.Millisecond
 	backoffMax = 2 * time.Second
 	inboxSize  = 64
 )
 
-// Objects is the part of the membership that travels over links.
+// Objects gives access to the shared objects that are synchronised over links.
 type Objects interface {
-	// Versions returns the versions in force here.
+	// Versions returns the active versions of this process.
 	Versions() *wire.Versions
-	// Newer returns the objects that are newer here than at the peer.
+	// Newer returns the objects that are newer in this process than at the peer.
 	Newer(peer *wire.Versions) []*wire.Object
-	// Offer takes an object that the peer holds.
+	// Offer takes an object received from a peer.
 	Offer(o sharedstate.Object)
-	// Heard takes the versions in force at a peer.
+	// SetPeerVersions records the active versions of a peer.
 	SetPeerVersions(process string, v *wire.Versions)
-	// Changed returns a channel that is closed when the versions here change.
+	// Changed returns a channel that is closed when the versions of this process
+	// change.
 	Changed() <-chan struct{}
 }
 
-// Link is the duty that keeps the connection to one sidecar. Serve runs it;
-// Conn may be called from any goroutine.
+// Link is the duty that maintains the connection to one sidecar. Serve runs it;
+// Conn and Peer are safe for concurrent use.
 type Link struct {
 	server  Server
 	self    *wire.Hello
@@ -56,30 +57,30 @@
 	current atomic.Pointer[Conn]
 	peer    atomic.Pointer[Peer]
 
-	// The rest belongs to Serve.
-	inbox    chan inbound
-	dialled  chan dialResult
-	dialling bool
-	retryAt  time.Time
-	backoff  time.Duration
-	old      *oldConn
-	heard    time.Time
-	beatAt   time.Time
-	sequence uint64
-	state    State
-	// sent are the versions sent on the connection since the sidecar last told
-	// its own. What is in force there is only what it tells itself.
-	sent map[string]uint64
+	// The fields below are accessed by the goroutine of Serve only.
+	inbox             chan inboundFrame
+	dialled           chan dialResult
+	dialling          bool
+	retryAt           time.Time
+	backoff           time.Duration
+	retired           *retiredConn
+	lastFrameAt       time.Time
+	lastHeartbeatAt   time.Time
+	heartbeatSequence uint64
+	state             State
+	// sentVersions holds the versions sent on the connection since the sidecar's
+	// last Versions. They count as active there only once the sidecar reports them.
+	sentVersions map[string]uint64
 }
 
-// Peer is what a sidecar last said of itself. It is never changed.
+// Peer is the last known state of a sidecar. It is immutable.
 type Peer struct {
 	LastFrameAt time.Time
 	Versions    map[string]uint64
 }
 
-// oldConn is a silent connection beside its successor.
-type oldConn struct {
+// retiredConn is a silent connection that has been replaced.
+type retiredConn struct {
 	conn    *Conn
 	closeAt time.Time
 }
@@ -91,30 +92,31 @@
 
 var secondConnections = metrics.GetOrRegisterCounter("link.second_connections", nil)
 
-// NewLink returns the Link to server. It sends self as its Hello and puts what
-// it learns into reports.
+// NewLink returns the Link to server. It sends self as its Hello and puts load
+// reports, cache events and changes of its state into reports.
 func NewLink(server Server, self *wire.Hello, objects Objects, reports *ring.Ring[Report]) *Link {
 	l := &Link{server: server, self: self, objects: objects, reports: reports}
 	l.peer.Store(&Peer{})
 	return l
 }
 
-// Conn returns the connection for new work, or nil if there is none.
+// Conn returns the connection for new requests, or nil if there is none. It may
+// be silent.
 func (l *Link) Conn() *Conn { return l.current.Load() }
 
-// Peer returns what the sidecar last said of itself.
+// Peer returns the last known state of the sidecar.
 func (l *Link) Peer() Peer { return *l.peer.Load() }
 
-// String names the duty.
+// String returns the name of the duty.
 func (l *Link) String() string { return "link to " + l.server.Name }
 
-// Serve keeps the connection until ctx ends.
+// Serve maintains the connection until ctx ends.
 func (l *Link) Serve(ctx context.Context) error {
-	l.inbox = make(chan inbound, inboxSize)
+	l.inbox = make(chan inboundFrame, inboxSize)
 	l.dialled = make(chan dialResult, 1)
 	l.dialling, l.retryAt, l.backoff = false, time.Time{}, 0
 	defer l.closeAll()
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	l.dial(ctx)
 	changed := l.objects.Changed()
@@ -124,11 +126,11 @@
 			return ctx.Err()
 		case <-changed:
 			changed = l.objects.Changed()
-			l.push()
+			l.pushObjects()
 		case in := <-l.inbox:
-			l.receive(ctx, time.Now(), in)
+			l.handleInbound(ctx, time.Now(), in)
 		case result := <-l.dialled:
-			l.dialDone(ctx, time.Now(), result)
+			l.handleDialResult(ctx, time.Now(), result)
 		case now := <-ticker.C:
 			l.tick(ctx, now)
 		}
@@ -146,47 +148,49 @@
 	}()
 }
 
-func (l *Link) dialDone(ctx context.Context, now time.Time, result dialResult) {
+func (l *Link) handleDialResult(ctx context.Context, now time.Time, result dialResult) {
 	l.dialling = false
 	if result.err != nil {
 		l.backoff = min(max(2*l.backoff, backoffMin), backoffMax)
-		// The jitter keeps the entries of a fleet from dialling a sidecar that
-		// came back all at once.
+		// The jitter keeps all entries from dialling a restarted sidecar at the
+		// same moment.
 		l.retryAt = now.Add(l.backoff/2 + rand.N(l.backoff))
 		log.WithField("backend_server", l.server.Name).WithError(result.err).Debug("dial failed")
 		return
 	}
 	l.backoff = 0
-	l.adopt(ctx, now, result.conn)
+	l.setCurrent(ctx, now, result.conn)
 }
 
-// adopt makes conn the connection for new work.
-func (l *Link) adopt(ctx context.Context, now time.Time, conn *Conn) {
+// setCurrent makes conn the connection for new requests and retires the previous
+// one.
+func (l *Link) setCurrent(ctx context.Context, now time.Time, conn *Conn) {
 	if before := l.current.Swap(conn); before != nil {
 		l.retire(now, before)
 	}
-	l.heard, l.beatAt = now, now
-	l.sent = map[string]uint64{}
+	l.lastFrameAt, l.lastHeartbeatAt = now, now
+	l.sentVersions = map[string]uint64{}
 	l.peer.Store(&Peer{LastFrameAt: now})
-	go conn.write()
-	go conn.read(ctx, l.inbox)
-	conn.send(l.versions())
+	go conn.writeLoop()
+	go conn.readLoop(ctx, l.inbox)
+	conn.send(l.versionsFrame())
 	l.setState(Up)
 	log.WithField("backend_server", l.server.Name).WithField("incarnation", conn.incarnation).Info("link up")
 }
 
+// retire marks a replaced connection silent and leaves it open for retiredLinger.
 func (l *Link) retire(now time.Time, conn *Conn) {
-	if l.old != nil {
-		l.old.conn.close()
+	if l.retired != nil {
+		l.retired.conn.close()
 	}
 	conn.markSilent()
-	l.old = &oldConn{conn: conn, closeAt: now.Add(oldLinger)}
+	l.retired = &retiredConn{conn: conn, closeAt: now.Add(retiredLinger)}
 }
 
 func (l *Link) tick(ctx context.Context, now time.Time) {
-	if l.old != nil && !now.Before(l.old.closeAt) {
-		l.old.conn.close()
-		l.old = nil
+	if l.retired != nil && !now.Before(l.retired.closeAt) {
+		l.retired.conn.close()
+		l.retired = nil
 	}
 	conn := l.current.Load()
 	if conn == nil {
@@ -195,45 +199,44 @@
 		}
 		return
 	}
-	l.beat(now, conn)
-	// A connection once marked silent is replaced even if it is heard again:
-	// its requests have been told, and those to come would be told at once.
-	silent := conn.isSilent() || now.Sub(l.heard) >= link.SilentAfter
+	l.sendHeartbeat(now, conn)
+	// A connection once marked silent is replaced even if frames arrive again:
+	// Silent stays closed, so every new request would see a silent link immediately.
+	silent := conn.isSilent() || now.Sub(l.lastFrameAt) >= link.SilentAfter
 	if silent && !now.Before(l.retryAt) {
-		l.goneSilent(ctx, now, conn)
+		l.replaceSilent(ctx, now, conn)
 	}
 }
 
-// goneSilent opens a second connection beside a silent one.
+// replaceSilent dials a second connection while the silent one is still open.
 //
-// A connection that something between the two ends has lost track of neither
-// fails nor delivers. Requests on it would wait for their whole deadline while
-// the sidecar answers new connections at once; one notices by a link without
-// heartbeats to a sidecar whose other links are fine. Waiting for TCP to give
-// up takes minutes.
-func (l *Link) goneSilent(ctx context.Context, now time.Time, conn *Conn) {
+// If a middlebox loses the state of a connection, it neither fails nor delivers.
+// Requests on it would wait until their deadlines although the sidecar answers on
+// new connections immediately, and a TCP timeout takes minutes. Symptom: a link
+// without heartbeats to a sidecar whose other links work.
+func (l *Link) replaceSilent(ctx context.Context, now time.Time, conn *Conn) {
 	if !conn.isSilent() {
 		secondConnections.Inc(1)
 		log.WithField("backend_server", l.server.Name).
-			WithField("silent_for", now.Sub(l.heard).String()).Warn("link silent, opening a second connection")
+			WithField("silent_for", now.Sub(l.lastFrameAt).String()).Warn("link silent, opening a second connection")
 	}
 	conn.markSilent()
 	l.setState(Down)
 	l.dial(ctx)
 }
 
-func (l *Link) beat(now time.Time, conn *Conn) {
-	if now.Sub(l.beatAt) < link.HeartbeatInterval {
+func (l *Link) sendHeartbeat(now time.Time, conn *Conn) {
+	if now.Sub(l.lastHeartbeatAt) < link.HeartbeatInterval {
 		return
 	}
-	l.beatAt = now
-	l.sequence++
+	l.lastHeartbeatAt = now
+	l.heartbeatSequence++
 	conn.send(&wire.Frame{Body: &wire.Frame_Heartbeat{Heartbeat: &wire.Heartbeat{
-		Sequence: l.sequence,
-		ClockUs:  clock(),
+		Sequence: l.heartbeatSequence,
+		ClockUs:  clockMicros(),
 	}}})
-	if l.sequence%versionsEvery == 0 {
-		conn.send(l.versions())
+	if l.heartbeatSequence%heartbeatsPerVersions == 0 {
+		conn.send(l.versionsFrame())
 	}
 }
 
@@ -241,12 +244,12 @@
 	if conn := l.current.Swap(nil); conn != nil {
 		conn.close()
 	}
-	if l.old != nil {
-		l.old.conn.close()
-		l.old = nil
+	if l.retired != nil {
+		l.retired.conn.close()
+		l.retired = nil
 	}
 	l.setState(Down)
-	// A dial that is still under way must not leave its connection behind.
+	// A pending dial must not leak its connection.
 	if l.dialling {
 		go func(dialled <-chan dialResult) {
 			if r := <-dialled; r.conn != nil {
--- a/internal/entry/links/links_test.go
+++ b/internal/entry/links/links_test.go
@@ -26,19 +26,20 @@
 	RunSpecs(t, "links")
 }
 
-// soon bounds what happens by itself; it is no claim about speed.
-const soon = 20 * time.Second
+// eventuallyTimeout bounds the waits for asynchronous events. It is generous and
+// does not check how fast they are.
+const eventuallyTimeout = 20 * time.Second
 
-// fakeSidecar answers Hello and beats on each control stream. It records the
-// objects that it gets, and can fall silent on the connections that it has.
+// fakeSidecar sends its Hello and heartbeats on each control stream. It records
+// the objects that it receives, and can become silent on its open connections.
 type fakeSidecar struct {
 	listener net.Listener
 	versions atomic.Pointer[wire.Versions]
 	accepted atomic.Int64
-	// paused stops the heartbeats, noHello the answers to new connections,
-	// which the kernel of a paused process goes on accepting.
-	paused  atomic.Bool
-	noHello atomic.Bool
+	// heartbeatsPaused stops the heartbeats. noHello stops the Hello on new
+	// connections, which the kernel of a paused process still accepts.
+	heartbeatsPaused atomic.Bool
+	noHello          atomic.Bool
 
 	mu      sync.Mutex
 	silent  map[*link.Session]bool
@@ -86,7 +87,7 @@
 	}
 	_ = control.Send(&wire.Frame{Body: &wire.Frame_Hello{Hello: &wire.Hello{Incarnation: "life-1"}}})
 	_ = control.Send(&wire.Frame{Body: &wire.Frame_Versions{Versions: s.versions.Load()}})
-	go s.beat(session, control)
+	go s.sendHeartbeats(session, control)
 	for {
 		stream, err := session.AcceptStream()
 		if err != nil {
@@ -98,12 +99,12 @@
 	}
 }
 
-func (s *fakeSidecar) beat(session *link.Session, control *wire.Conn) {
+func (s *fakeSidecar) sendHeartbeats(session *link.Session, control *wire.Conn) {
 	for range time.Tick(100 * time.Millisecond) {
 		s.mu.Lock()
 		silent := s.silent[session]
 		s.mu.Unlock()
-		if silent || s.paused.Load() {
+		if silent || s.heartbeatsPaused.Load() {
 			continue
 		}
 		beat := &wire.Frame{Body: &wire.Frame_Heartbeat{Heartbeat: &wire.Heartbeat{}}}
@@ -127,8 +128,8 @@
 	}
 }
 
-// silencePresent stops the heartbeats on the connections that are open now.
-func (s *fakeSidecar) silencePresent() {
+// silenceOpenConns stops the heartbeats on the connections that are open now.
+func (s *fakeSidecar) silenceOpenConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for session := range s.silent {
@@ -136,7 +137,7 @@
 	}
 }
 
-func (s *fakeSidecar) received() []uint64 {
+func (s *fakeSidecar) receivedVersions() []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	versions := []uint64{}
@@ -154,14 +155,14 @@
 	}
 }
 
-// fakeObjects holds one object.
+// fakeObjects is a links.Objects with a single object.
 type fakeObjects struct {
 	mu      sync.Mutex
 	version uint64
 	changed chan struct{}
 }
 
-func newObjects() *fakeObjects { return &fakeObjects{version: 1, changed: make(chan struct{})} }
+func newFakeObjects() *fakeObjects { return &fakeObjects{version: 1, changed: make(chan struct{})} }
 
 func (o *fakeObjects) set(version uint64) {
 	o.mu.Lock()
@@ -234,45 +235,46 @@
 		views.list(vmAt("a", sidecar.listener.Addr().String()))
 	})
 
-	// Something between the two ends has lost track of the connection: it
-	// neither fails nor delivers, and new ones work. Requests would hang on it
-	// until their deadlines.
-	It("opens a second connection beside a silent one", func() {
-		pool, _ := startPool(views, newObjects(), links.Config{})
+	// Guards against requests that hang until their deadlines: a middlebox has lost
+	// the state of the connection, so it neither fails nor delivers, while new
+	// connections work.
+	It("opens a second connection when one is silent", func() {
+		pool, _ := startPool(views, newFakeObjects(), links.Config{})
 		first, err := pool.Conn(context.Background(), "a")
 		Expect(err).NotTo(HaveOccurred())
 
-		sidecar.silencePresent()
-		Eventually(first.Silent(), soon).Should(BeClosed())
+		sidecar.silenceOpenConns()
+		Eventually(first.Silent(), eventuallyTimeout).Should(BeClosed())
 		Eventually(func() error {
 			second, err := pool.Conn(context.Background(), "a")
 			if err == nil && second == first {
 				return fmt.Errorf("still the silent connection")
 			}
 			return err
-		}, soon, 10*time.Millisecond).Should(Succeed())
+		}, eventuallyTimeout, 10*time.Millisecond).Should(Succeed())
 		Expect(sidecar.accepted.Load()).To(BeEquivalentTo(2))
 	})
 
-	// A sidecar is paused for longer than two heartbeats and wakes up. The
-	// second connection got no Hello meanwhile, and the first one is heard
-	// again. Kept as it is, marked silent, it would send every request to a
-	// Resolve for ever: callers of that sidecar would run into their deadlines.
-	It("replaces a connection that was silent though it is heard again", func() {
-		pool, _ := startPool(views, newObjects(), links.Config{})
+	// Guards against a link that stays on a connection marked silent: a sidecar is
+	// paused for longer than two heartbeats and resumes. The second connection got
+	// no Hello in the meantime, and frames arrive on the first one again. If it were
+	// kept, every request on it would need a Resolve, and callers of that sidecar
+	// would exceed their deadlines.
+	It("replaces a connection that was silent even if frames arrive again", func() {
+		pool, _ := startPool(views, newFakeObjects(), links.Config{})
 		first, err := pool.Conn(context.Background(), "a")
 		Expect(err).NotTo(HaveOccurred())
 
-		sidecar.paused.Store(true)
+		sidecar.heartbeatsPaused.Store(true)
 		sidecar.noHello.Store(true)
-		Eventually(first.Silent(), soon).Should(BeClosed())
-		Eventually(sidecar.accepted.Load, soon).Should(BeNumerically(">=", 2))
-		sidecar.paused.Store(false)
+		Eventually(first.Silent(), eventuallyTimeout).Should(BeClosed())
+		Eventually(sidecar.accepted.Load, eventuallyTimeout).Should(BeNumerically(">=", 2))
+		sidecar.heartbeatsPaused.Store(false)
 		woken := time.Now()
 		Eventually(func() time.Time {
 			peer, _ := pool.Peer("a")
 			return peer.LastFrameAt
-		}, soon).Should(BeTemporally(">", woken))
+		}, eventuallyTimeout).Should(BeTemporally(">", woken))
 		sidecar.noHello.Store(false)
 		Eventually(func() error {
 			second, err := pool.Conn(context.Background(), "a")
@@ -280,28 +282,28 @@
 				return fmt.Errorf("still the connection that was silent")
 			}
 			return err
-		}, soon, 10*time.Millisecond).Should(Succeed())
+		}, eventuallyTimeout, 10*time.Millisecond).Should(Succeed())
 	})
 
-	// Operators change a default. A sidecar that heard of it only when it next
-	// tells its versions would run on the old one for seconds.
-	It("pushes a changed object at once", func() {
-		objects := newObjects()
+	// Guards against slow configuration changes: a sidecar that received a changed
+	// default only after its next Versions would use the old one for seconds.
+	It("pushes a changed object immediately", func() {
+		objects := newFakeObjects()
 		pool, _ := startPool(views, objects, links.Config{})
 		Eventually(func() map[string]uint64 {
 			peer, _ := pool.Peer("a")
 			return peer.Versions
-		}, soon).Should(HaveKeyWithValue("fleetconfig", uint64(1)))
+		}, eventuallyTimeout).Should(HaveKeyWithValue("fleetconfig", uint64(1)))
 		objects.set(2)
-		Eventually(sidecar.received, soon, 10*time.Millisecond).Should(Equal([]uint64{2}))
+		Eventually(sidecar.receivedVersions, eventuallyTimeout, 10*time.Millisecond).Should(Equal([]uint64{2}))
 		objects.set(3)
-		Eventually(sidecar.received, soon, 10*time.Millisecond).Should(Equal([]uint64{2, 3}))
+		Eventually(sidecar.receivedVersions, eventuallyTimeout, 10*time.Millisecond).Should(Equal([]uint64{2, 3}))
 	})
 
-	// A backend server has left the VM list while it finishes its last
-	// requests. Their link must not be closed under them.
-	It("keeps a link while a request runs on it", func() {
-		pool, _ := startPool(views, newObjects(), links.Config{})
+	// Guards against cut requests: a backend server that has been removed from the VM
+	// list is still finishing its last requests over the link.
+	It("keeps a link open while a request runs on it", func() {
+		pool, _ := startPool(views, newFakeObjects(), links.Config{})
 		conn, err := pool.Conn(context.Background(), "a")
 		Expect(err).NotTo(HaveOccurred())
 		stream, err := conn.Open()
@@ -312,7 +314,7 @@
 		Consistently(conn.Silent(), 4*links.Tick).ShouldNot(BeClosed())
 		Expect(stream.Close()).To(Succeed())
 		sidecar.closeStreams()
-		Eventually(conn.Silent(), soon).Should(BeClosed())
+		Eventually(conn.Silent(), eventuallyTimeout).Should(BeClosed())
 	})
 
 	It("opens a link on demand", func() {
@@ -320,23 +322,23 @@
 		near, far := vmAt("a", sidecar.listener.Addr().String()), vmAt("b", other.listener.Addr().String())
 		near.DataCentre, far.DataCentre = "gangnam", "mapo"
 		views.list(near, far)
-		pool, _ := startPool(views, newObjects(), links.Config{LinksPerService: 1, DataCentre: "gangnam"})
-		Eventually(sidecar.accepted.Load, soon).Should(BeEquivalentTo(1))
+		pool, _ := startPool(views, newFakeObjects(), links.Config{LinksPerService: 1, DataCentre: "gangnam"})
+		Eventually(sidecar.accepted.Load, eventuallyTimeout).Should(BeEquivalentTo(1))
 		Expect(other.accepted.Load()).To(BeZero())
 		_, err := pool.Conn(context.Background(), "b")
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("says so when a backend server cannot be reached", func() {
+	It("returns ErrNoLink for an unreachable backend server", func() {
 		_ = sidecar.listener.Close()
-		pool, _ := startPool(views, newObjects(), links.Config{})
+		pool, _ := startPool(views, newFakeObjects(), links.Config{})
 		_, err := pool.Conn(context.Background(), "a")
 		Expect(err).To(MatchError(links.ErrNoLink))
 	})
 })
 
 var _ = Describe("subset", func() {
-	It("is balanced over the sidecars and prefers the own data centre", func() {
+	It("is balanced over the sidecars and prefers the local data centre", func() {
 		const servers, entries, perEntry = 60, 35, 12
 		vms := []sharedstate.VM{}
 		for i := range servers {
@@ -355,7 +357,7 @@
 				linked[name]++
 			}
 		}
-		Expect(linked).To(HaveLen(servers/3), "only the own data centre, which has enough")
+		Expect(linked).To(HaveLen(servers/3), "only the local data centre, which has enough")
 		for name, n := range linked {
 			Expect(n).To(BeNumerically("<", 35), name)
 		}
--- a/internal/entry/links/pool.go
+++ b/internal/entry/links/pool.go
@@ -15,32 +15,34 @@
 )
 
 const (
-	// connWait is how long an attempt waits for a link that is being opened.
-	connWait = time.Second
-	// connPoll is how often it looks.
-	connPoll = 5 * time.Millisecond
-	// idleAfter is how long a link opened on demand stays without use.
-	idleAfter = 30 * time.Second
-	// maxOnDemand bounds the links beyond the subset.
-	maxOnDemand = 64
-	wantedQueue = 256
+	// connTimeout bounds how long Conn waits for a link that is being opened, and
+	// connPollInterval is how often it checks.
+	connTimeout      = time.Second
+	connPollInterval = 5 * time.Millisecond
+	// onDemandIdleTimeout is how long an unused on-demand link stays open.
+	onDemandIdleTimeout = 30 * time.Second
+	// maxOnDemandLinks bounds the links in addition to the persistent ones.
+	maxOnDemandLinks = 64
+	wantedQueueSize  = 256
 )
 
-// ErrNoLink says that there is no connection to the backend server.
+// ErrNoLink is returned if there is no live connection to the backend server.
 var ErrNoLink = eris.New("no link to the backend server")
 
-// Config sets a Pool.
+// Config configures a Pool.
 type Config struct {
 	// Self is the Hello of this process.
 	Self *wire.Hello
-	// Region and DataCentre of this process; links go there first.
+	// Region and DataCentre are the location of this process. Sidecars there are
+	// preferred.
 	Region, DataCentre string
-	// Links is how many sidecars of each service get a standing link; 0: all.
+	// LinksPerService is the number of sidecars of each service that get a
+	// persistent link; 0 means all.
 	LinksPerService int
 }
 
-// Pool is the duty that decides which links exist. Conn may be called from any
-// goroutine.
+// Pool is the duty that opens and closes links: persistent ones to a subset of
+// the sidecars, others on demand. Conn, Peer and Dump are safe for concurrent use.
 type Pool struct {
 	config     Config
 	views      view.Source
@@ -50,17 +52,17 @@
 	wanted     *ring.Ring[string]
 	published  atomic.Pointer[map[string]*Link]
 
-	// The rest belongs to Serve.
+	// links is accessed by the goroutine of Serve only.
 	links map[string]*pooledLink
 }
 
-// pooledLink is a link in the pool.
+// pooledLink is a link of a Pool.
 type pooledLink struct {
-	link     *Link
-	server   Server
-	token    suture.ServiceToken
-	standing bool
-	usedAt   time.Time
+	link       *Link
+	server     Server
+	token      suture.ServiceToken
+	persistent bool
+	usedAt     time.Time
 }
 
 // NewPool returns a Pool whose links run under supervisor.
@@ -71,41 +73,42 @@
 		objects:    objects,
 		reports:    reports,
 		supervisor: supervisor,
-		wanted:     ring.New[string]("links.wanted", wantedQueue, ring.DropOldest),
+		wanted:     ring.New[string]("links.wanted", wantedQueueSize, ring.DropOldest),
 		links:      map[string]*pooledLink{},
 	}
 	p.publish()
 	return p
 }
 
-// String names the duty.
+// String returns the name of the duty.
 func (p *Pool) String() string { return "links" }
 
-// Conn returns the connection for new work to a backend server, opening a link
-// to it if there is none.
+// Conn returns a live connection to a backend server for new requests. Without a
+// link it requests one and waits for up to connTimeout.
 func (p *Pool) Conn(ctx context.Context, server string) (*Conn, error) {
-	if conn := p.lookUp(server); conn != nil {
+	if conn := p.liveConn(server); conn != nil {
 		return conn, nil
 	}
 	p.wanted.Put(server)
-	ctx, cancel := context.WithTimeout(ctx, connWait)
+	ctx, cancel := context.WithTimeout(ctx, connTimeout)
 	defer cancel()
-	ticker := time.NewTicker(connPoll)
+	ticker := time.NewTicker(connPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil, eris.Wrap(ErrNoLink, server)
 		case <-ticker.C:
-			if conn := p.lookUp(server); conn != nil {
+			if conn := p.liveConn(server); conn != nil {
 				return conn, nil
 			}
 		}
 	}
 }
 
-// lookUp returns the connection if it is not silent.
-func (p *Pool) lookUp(server string) *Conn {
+// liveConn returns the connection to a backend server, or nil if there is none
+// or it is silent.
+func (p *Pool) liveConn(server string) *Conn {
 	l, ok := (*p.published.Load())[server]
 	if !ok {
 		return nil
@@ -117,30 +120,31 @@
 	return conn
 }
 
-// Serve keeps the set of links until ctx ends.
+// Serve maintains the set of links until ctx ends.
 func (p *Pool) Serve(ctx context.Context) error {
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	p.update(time.Now())
+	p.reconcile(time.Now())
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case server := <-p.wanted.C():
-			p.want(time.Now(), server)
+			p.openOnDemand(time.Now(), server)
 		case now := <-ticker.C:
-			p.update(now)
+			p.reconcile(now)
 		}
 	}
 }
 
-// want opens a link on demand.
-func (p *Pool) want(now time.Time, server string) {
+// openOnDemand opens a link that Conn has requested, unless the limit is reached.
+// For an existing link it restarts the idle timeout.
+func (p *Pool) openOnDemand(now time.Time, server string) {
 	if m, ok := p.links[server]; ok {
 		m.usedAt = now
 		return
 	}
-	if len(p.links) >= p.standing()+maxOnDemand {
+	if len(p.links) >= p.persistentLinks()+maxOnDemandLinks {
 		return
 	}
 	for _, vm := range p.views.View().Backends() {
@@ -152,18 +156,19 @@
 	}
 }
 
-func (p *Pool) standing() int {
+// persistentLinks returns the number of persistent links.
+func (p *Pool) persistentLinks() int {
 	n := 0
 	for _, m := range p.links {
-		if m.standing {
+		if m.persistent {
 			n++
 		}
 	}
 	return n
 }
 
-// update follows the VM list.
-func (p *Pool) update(now time.Time) {
+// reconcile opens and closes links to match the VM list.
+func (p *Pool) reconcile(now time.Time) {
 	backends := p.views.View().Backends()
 	listed := make(map[string]Server, len(backends))
 	for _, vm := range backends {
@@ -176,35 +181,35 @@
 		}
 	}
 	for name, m := range p.links {
-		m.standing = chosen[name]
+		m.persistent = chosen[name]
 		server, ok := listed[name]
 		if !ok || server.Address != m.server.Address {
 			p.closeUnused(m)
 			continue
 		}
-		if !m.standing && now.Sub(m.usedAt) > idleAfter {
+		if !m.persistent && now.Sub(m.usedAt) > onDemandIdleTimeout {
 			p.closeUnused(m)
 		}
 	}
 	p.publish()
 }
 
-func (p *Pool) open(now time.Time, server Server, standing bool) {
+func (p *Pool) open(now time.Time, server Server, persistent bool) {
 	l := NewLink(server, p.config.Self, p.objects, p.reports)
 	p.links[server.Name] = &pooledLink{
-		link:     l,
-		server:   server,
-		token:    p.supervisor.Add(l),
-		standing: standing,
-		usedAt:   now,
+		link:       l,
+		server:     server,
+		token:      p.supervisor.Add(l),
+		persistent: persistent,
+		usedAt:     now,
 	}
 }
 
-// closeUnused closes a link that carries no request. One that does is looked
-// at again with the next tick: its backend server has left the VM list, but
-// the requests that it finishes must not be cut.
+// closeUnused closes a link unless requests run on it. Then it is checked again
+// at the next tick: a backend server that has left the VM list still finishes its
+// requests, and their streams must not be cut.
 func (p *Pool) closeUnused(m *pooledLink) {
-	if conn := m.link.Conn(); conn != nil && conn.busy() {
+	if conn := m.link.Conn(); conn != nil && conn.hasOpenStreams() {
 		return
 	}
 	_ = p.supervisor.Remove(m.token)
@@ -219,8 +224,8 @@
 	p.published.Store(&published)
 }
 
-// Peer returns what the sidecar of a backend server last said of itself; false
-// without a link to it.
+// Peer returns the last known state of a backend server's sidecar, or false if
+// there is no link to it.
 func (p *Pool) Peer(server string) (Peer, bool) {
 	l, ok := (*p.published.Load())[server]
 	if !ok {
@@ -233,23 +238,23 @@
 	return Server{Name: vm.Name, Address: vm.LinkAddress}
 }
 
-// LinkDump is one link in the dump of a Pool.
+// LinkDump is the state of one link in the dump of a Pool.
 type LinkDump struct {
 	Connected   bool   `json:"connected"`
 	Silent      bool   `json:"silent"`
 	Incarnation string `json:"incarnation,omitempty"`
-	// HeardAt is when the sidecar last sent a frame.
-	HeardAt time.Time `json:"heard_at"`
-	// Versions are the object versions in force there.
+	// LastFrameAt is when the sidecar last sent a frame.
+	LastFrameAt time.Time `json:"heard_at"`
+	// Versions holds the object versions that are active at the sidecar.
 	Versions map[string]uint64 `json:"versions,omitempty"`
 }
 
-// Dump returns the state of each link.
+// Dump returns the state of each link as a LinkDump, by backend server.
 func (p *Pool) Dump(context.Context) any {
 	dump := map[string]LinkDump{}
 	for name, l := range *p.published.Load() {
 		peer := l.Peer()
-		d := LinkDump{HeardAt: peer.LastFrameAt, Versions: peer.Versions}
+		d := LinkDump{LastFrameAt: peer.LastFrameAt, Versions: peer.Versions}
 		if conn := l.Conn(); conn != nil {
 			d.Connected, d.Silent, d.Incarnation = true, conn.isSilent(), conn.incarnation
 		}
--- a/internal/entry/links/server.go
+++ b/internal/entry/links/server.go
@@ -2,16 +2,16 @@
 
 import "pistachioroad.dev/pistachioroad/internal/wire"
 
-// Server names one backend server and the sidecar beside it.
+// Server identifies a backend server and its sidecar.
 type Server struct {
 	// Name is the name of the VM.
 	Name string
-	// Address is where the sidecar takes links.
+	// Address is where the sidecar accepts links.
 	Address string
 }
 
-// Report is what a link learned about its backend server. One of Load and
-// Events is set, or none when only the state of the link changed.
+// Report is an update from a link about its backend server. At most one of Load
+// and Events is set; neither if only the state of the link changed.
 type Report struct {
 	Server string
 	State  State
@@ -24,11 +24,11 @@
 
 // The states of a link.
 const (
-	// Down: there is no connection, or the only one is silent.
+	// Down means that there is no connection, or that it is silent.
 	Down State = iota
-	// Up: heartbeats arrive.
+	// Up means that heartbeats arrive.
 	Up
-	// Draining: heartbeats arrive and say that the sidecar is leaving.
+	// Draining means that the sidecar's heartbeats announce that it is leaving.
 	Draining
 )
 
--- a/internal/entry/links/subset.go
+++ b/internal/entry/links/subset.go
@@ -5,23 +5,23 @@
 	"pistachioroad.dev/pistachioroad/internal/sharedstate"
 )
 
-// subset chooses the backend servers that get a standing link: for each
-// service the configured number, in the own data centre first, then in the
-// own region, then anywhere.
+// subset chooses the backend servers that get a persistent link: for each service
+// the configured number, from the local data centre first, then from the local
+// region, then from anywhere.
 //
-// A full mesh of 350 entries and 600 sidecars spends more on heartbeats than a
-// node may use for control. Rendezvous hashing by the entry's name spreads the
-// entries evenly over the sidecars, and a VM that comes or goes changes no
-// other choice.
+// Heartbeats of a full mesh of 350 entries and 600 sidecars would exceed what a
+// node may spend on control traffic. Rendezvous hashing by the entry's name
+// spreads the entries evenly over the sidecars, and a VM that is added or removed
+// does not affect the choice of other VMs.
 func subset(backends []sharedstate.VM, config Config) map[string]bool {
 	chosen := map[string]bool{}
 	for _, group := range byService(backends) {
-		left := config.LinksPerService
-		if left <= 0 {
-			left = len(group)
+		remaining := config.LinksPerService
+		if remaining <= 0 {
+			remaining = len(group)
 		}
 		for _, tier := range tiers(group, config) {
-			left -= choose(chosen, tier, config.Self.GetProcess(), left)
+			remaining -= choose(chosen, tier, config.Self.GetProcess(), remaining)
 		}
 	}
 	return chosen
@@ -35,7 +35,8 @@
 	return groups
 }
 
-// tiers splits a group by distance, the nearest first.
+// tiers splits the VMs of a service by distance: local data centre, local region,
+// other.
 func tiers(group []sharedstate.VM, config Config) [3][]string {
 	var tiers [3][]string
 	for _, vm := range group {
@@ -51,7 +52,8 @@
 	return tiers
 }
 
-// choose adds up to n names and returns how many it added.
+// choose adds up to n of names to chosen by rendezvous hashing with key, and
+// returns how many it added.
 func choose(chosen map[string]bool, names []string, key string, n int) int {
 	picked := member.Choose(names, key, n)
 	for _, name := range picked {
--- a/internal/entry/router/candidates.go
+++ b/internal/entry/router/candidates.go
@@ -12,59 +12,60 @@
 	"pistachioroad.dev/pistachioroad/internal/sharedstate"
 )
 
-// candidates returns the backend servers of the request's service as the
-// decisions see them, for the work of a role.
+// candidates returns the backend servers of the request's service with their
+// load, cached blocks and outlier weight for work of the given role.
 func (s *state) candidates(now time.Time, r *Request, role route.Role) []route.Candidate {
 	cached := map[string]int{}
 	if role != route.Decode {
-		cached = s.prefix.CachedBlocks(now, r.PrefixBlocks)
+		cached = s.prefixIndex.CachedBlocks(now, r.PrefixBlocks)
 	}
-	outliers := s.group(r.group()).outlier(role)
+	outliers := s.group(r.group()).outlierDetector(role)
 	candidates := make([]route.Candidate, 0, len(s.servers))
-	for name, known := range s.servers {
-		if known.vm.Service != r.Service || known.load == nil {
+	for name, srv := range s.servers {
+		if srv.vm.Service != r.Service || srv.load == nil {
 			continue
 		}
-		c := s.candidate(known, r)
+		c := s.candidate(srv, r)
 		c.Name = name
-		c.Load, _, _ = s.picture(role).Load(now, name)
+		c.Load, _, _ = s.loadTracker(role).Load(now, name)
 		c.CachedBlocks = cached[name]
 		c.Weight = outliers.Weight(now, name)
 		candidates = append(candidates, c)
 	}
-	// The order of a map is random; the choice must depend on the seed alone.
+	// Map iteration order is random; the choice must depend on the seed only.
 	slices.SortFunc(candidates, func(a, b route.Candidate) int { return strings.Compare(a.Name, b.Name) })
 	return candidates
 }
 
-func (s *state) candidate(known *server, r *Request) route.Candidate {
-	row, _ := s.view.PlanRow(known.vm.Name)
+func (s *state) candidate(srv *server, r *Request) route.Candidate {
+	row, _ := s.view.PlanRow(srv.vm.Name)
 	c := route.Candidate{
-		DataCentre: known.vm.DataCentre,
-		Service:    known.vm.Service,
+		DataCentre: srv.vm.DataCentre,
+		Service:    srv.vm.Service,
 		Adapters:   row.Adapters,
-		Admitting:  known.load.GetAdmitting() && known.link == links.Up && !known.drained,
-		Leaving:    known.vm.Leaving,
+		Admitting:  srv.load.GetAdmitting() && srv.link == links.Up && !srv.drained,
+		Leaving:    srv.vm.Leaving,
 	}
 	if r.Service != sharedstate.ServiceModels {
 		return c
 	}
-	c.Role = route.Role(known.load.GetRole())
+	c.Role = route.Role(srv.load.GetRole())
 	if c.Role == "" {
 		c.Role = route.Mixed
 	}
 	if c.Role == route.Decode {
 		c.MaxSpilloverPrompt = shift.DefaultMaxSpilloverPrompt
 	}
-	c.Model = modelOf(known, row, r.Model)
+	c.Model = servedModel(srv, row, r.Model)
 	return c
 }
 
-// modelOf returns the model that the engine serves now: the request's, if the
-// engine reports it. An engine that reports none serves what the plan says;
-// without a plan it is asked, and refuses what it does not serve.
-func modelOf(known *server, row plan.Engine, model string) string {
-	models := known.load.GetModels()
+// servedModel returns the model that the engine currently serves: the request's,
+// if the engine reports it. For an engine that reports none it is the model in
+// the plan, and without a plan the request's: the engine rejects a request for a
+// model that it does not serve.
+func servedModel(srv *server, row plan.Engine, model string) string {
+	models := srv.load.GetModels()
 	switch {
 	case slices.Contains(models, model):
 		return model
@@ -77,13 +78,14 @@
 	}
 }
 
-// pick is one choice of a backend server and what it was made on.
+// pick is a chosen backend server and the candidate data that the choice was
+// based on.
 type pick struct {
 	route.Decision
 	candidate route.Candidate
 }
 
-// pickOne chooses a backend server for the work of a role.
+// pickOne chooses a backend server for work of the given role.
 func (s *state) pickOne(now time.Time, r *Request, role route.Role, excluded []string) (pick, bool) {
 	candidates := s.candidates(now, r, role)
 	decision, ok := route.Pick(s.rng, route.Request{
@@ -106,7 +108,8 @@
 	return p, ok
 }
 
-// firstRole is the work that a request asks for first.
+// firstRole returns the role for the first step of a request: prefill for a
+// completion, none for a plain service.
 func firstRole(r *Request) route.Role {
 	if r.Model == "" {
 		return ""
@@ -114,7 +117,7 @@
 	return route.Prefill
 }
 
-// uncached is the prompt that p still has to read.
-func (p pick) uncached(r *Request) int {
+// uncachedTokens returns how many prompt tokens the chosen server has to prefill.
+func (p pick) uncachedTokens(r *Request) int {
 	return max(1, r.PromptTokens-route.KVBlockTokens*p.candidate.CachedBlocks)
 }
--- a/internal/entry/router/demand.go
+++ b/internal/entry/router/demand.go
@@ -12,76 +12,77 @@
 )
 
 const (
-	// demandFresh is how long the demand told by another entry counts: a few of
-	// its messages may be lost.
-	demandFresh = 10 * time.Second
-	// maxDemandEntries bounds the entries whose demand is kept.
-	maxDemandEntries = 512
+	// remoteDemandTTL is how long the demand announced by another entry is used.
+	// It tolerates the loss of a few announcements.
+	remoteDemandTTL = 10 * time.Second
+	// maxRemoteDemands bounds the entries whose demand is stored.
+	maxRemoteDemands = 512
 )
 
-// remoteDemand is what another entry told of its demand.
+// remoteDemand is the demand announced by another entry.
 type remoteDemand struct {
-	at      time.Time
-	byModel map[string]shift.Demand
+	receivedAt time.Time
+	byModel    map[string]shift.Demand
 }
 
 // Demand returns the work offered to the entries of the region for each model,
-// also what was refused. The planner goes by it: what reaches the backend
-// servers is only what was let in, which never exceeds what the scarcer role
-// can do, however much more is wanted.
+// including rejected requests. The planner sizes the engine roles by it: the load of the
+// backend servers shows only admitted work, which never exceeds the capacity of
+// the scarcer role, however much more is offered.
 func (r *Router) Demand(ctx context.Context) (map[string]shift.Demand, error) {
 	reply := make(chan map[string]shift.Demand, 1)
-	return ask(ctx, r, demandMessage{reply: reply}, reply)
+	return query(ctx, r, demandMessage{reply: reply}, reply)
 }
 
 type demandMessage struct {
 	reply chan<- map[string]shift.Demand
 }
 
-func (m demandMessage) apply(now time.Time, s *state) { m.reply <- s.demand(now) }
+func (m demandMessage) apply(now time.Time, s *state) { m.reply <- s.regionDemand(now) }
 
-// ownDemand returns the demand that this entry sees itself.
-func (s *state) ownDemand(now time.Time) map[string]shift.Demand {
+// localDemand returns the demand offered to this entry for each model.
+func (s *state) localDemand(now time.Time) map[string]shift.Demand {
 	own := map[string]shift.Demand{}
 	for key, g := range s.groups {
 		if key.model != "" {
-			own[key.model] = own[key.model].Plus(g.meter.Demand(now))
+			own[key.model] = own[key.model].Plus(g.demandMeter.Demand(now))
 		}
 	}
 	return own
 }
 
-// demand adds up what this entry and those it has heard see. Entries that it has
-// not heard are taken for alike, for the balancer spreads callers evenly.
-func (s *state) demand(now time.Time) map[string]shift.Demand {
-	total := s.ownDemand(now)
-	heard := 1.0
+// regionDemand returns the sum of the demand of this entry and of those with a
+// current announcement, scaled to all entries of the region: the balancer spreads
+// callers evenly, so the others are assumed to have the same demand.
+func (s *state) regionDemand(now time.Time) map[string]shift.Demand {
+	total := s.localDemand(now)
+	counted := 1.0
 	for process, remote := range s.remoteDemand {
-		if now.Sub(remote.at) > demandFresh {
+		if now.Sub(remote.receivedAt) > remoteDemandTTL {
 			delete(s.remoteDemand, process)
 			continue
 		}
-		heard++
+		counted++
 		for model, d := range remote.byModel {
 			total[model] = total[model].Plus(d)
 		}
 	}
-	entries := 1 / s.part()
+	entries := 1 / s.entryShare()
 	return lo.MapValues(total, func(d shift.Demand, _ string) shift.Demand {
-		return scaled(d, max(1, entries/heard))
+		return scaleDemand(d, max(1, entries/counted))
 	})
 }
 
-func scaled(d shift.Demand, factor float64) shift.Demand {
+func scaleDemand(d shift.Demand, factor float64) shift.Demand {
 	d.PrefillTokens *= factor
 	d.ShortPrefillTokens *= factor
 	d.DecodeTokens *= factor
 	return d
 }
 
-// toldDemand returns the demand to tell other entries.
-func (s *state) toldDemand(now time.Time) []*wire.Accounts_Demand {
-	return lo.MapToSlice(s.ownDemand(now), func(model string, d shift.Demand) *wire.Accounts_Demand {
+// gossipDemand returns the local demand in the form announced to other entries.
+func (s *state) gossipDemand(now time.Time) []*wire.Accounts_Demand {
+	return lo.MapToSlice(s.localDemand(now), func(model string, d shift.Demand) *wire.Accounts_Demand {
 		return &wire.Accounts_Demand{
 			Model:              model,
 			PrefillTokens:      d.PrefillTokens,
@@ -91,9 +92,9 @@
 	})
 }
 
-// mergeDemand takes what another entry told of its demand.
-func (s *state) mergeDemand(now time.Time, p member.PeerAccounts) {
-	if _, known := s.remoteDemand[p.Process]; !known && len(s.remoteDemand) >= maxDemandEntries {
+// setRemoteDemand stores the demand announced by another entry.
+func (s *state) setRemoteDemand(now time.Time, p member.PeerAccounts) {
+	if _, known := s.remoteDemand[p.Process]; !known && len(s.remoteDemand) >= maxRemoteDemands {
 		return
 	}
 	byModel := map[string]shift.Demand{}
@@ -104,5 +105,5 @@
 			DecodeTokens:       d.GetDecodeTokens(),
 		}
 	}
-	s.remoteDemand[p.Process] = remoteDemand{at: now, byModel: byModel}
+	s.remoteDemand[p.Process] = remoteDemand{receivedAt: now, byModel: byModel}
 }
--- a/internal/entry/router/dump.go
+++ b/internal/entry/router/dump.go
@@ -6,11 +6,11 @@
 	"pistachioroad.dev/pistachioroad/internal/decide/route"
 )
 
-// Dump is the router's state for people.
+// Dump is the state of the router for operators.
 type Dump struct {
-	Servers map[string]ServerDump `json:"servers"`
-	Pieces  int                   `json:"cached_pieces"`
-	Groups  []string              `json:"groups"`
+	Servers      map[string]ServerDump `json:"servers"`
+	CachedBlocks int                   `json:"cached_pieces"`
+	Groups       []string              `json:"groups"`
 }
 
 // ServerDump is one backend server in a Dump.
@@ -23,25 +23,25 @@
 	Role      string     `json:"role,omitempty"`
 	Models    []string   `json:"models,omitempty"`
 	Load      route.Load `json:"load"`
-	// ReportAge is how old the load report is, as time.Duration prints it.
+	// ReportAge is the age of the load report, formatted as a time.Duration.
 	ReportAge string `json:"report_age"`
 }
 
 func (s *state) dump(now time.Time) Dump {
-	d := Dump{Servers: map[string]ServerDump{}, Pieces: s.prefix.Len()}
+	d := Dump{Servers: map[string]ServerDump{}, CachedBlocks: s.prefixIndex.Len()}
 	for key := range s.groups {
 		d.Groups = append(d.Groups, key.service+" "+key.model)
 	}
-	for name, known := range s.servers {
-		load, age, _ := s.prefills.Load(now, name)
+	for name, srv := range s.servers {
+		load, age, _ := s.prefillLoads.Load(now, name)
 		d.Servers[name] = ServerDump{
-			Service:   known.vm.Service,
-			Link:      known.link.String(),
-			Leaving:   known.vm.Leaving,
-			Drained:   known.drained,
-			Admitting: known.load.GetAdmitting(),
-			Role:      known.load.GetRole(),
-			Models:    known.load.GetModels(),
+			Service:   srv.vm.Service,
+			Link:      srv.link.String(),
+			Leaving:   srv.vm.Leaving,
+			Drained:   srv.drained,
+			Admitting: srv.load.GetAdmitting(),
+			Role:      srv.load.GetRole(),
+			Models:    srv.load.GetModels(),
 			Load:      load,
 			ReportAge: age.Round(time.Millisecond).String(),
 		}
@@ -49,11 +49,11 @@
 	return d
 }
 
-// loads returns the last report of each backend server that sent one.
-func (s *state) loads() map[string]LoadReport {
+// loads returns the last load report and link state of each backend server.
+func (s *state) loadReports() map[string]LoadReport {
 	loads := make(map[string]LoadReport, len(s.servers))
-	for name, known := range s.servers {
-		loads[name] = LoadReport{ReceivedAt: known.loadAt, Load: known.load, LinkState: known.link, Drained: known.drained}
+	for name, srv := range s.servers {
+		loads[name] = LoadReport{ReceivedAt: srv.loadReceivedAt, Load: srv.load, LinkState: srv.link, Drained: srv.drained}
 	}
 	return loads
 }
--- a/internal/entry/router/group.go
+++ b/internal/entry/router/group.go
@@ -15,29 +15,33 @@
 )
 
 const (
-	// maxGroups bounds the services and models with a group of their own.
+	// maxGroups bounds the number of groups. At the limit all are discarded and
+	// created again on use.
 	maxGroups = 64
-	// plainFloor is how many calls of an idle plain service may be retried
-	// within the hold of the budget; its work is counted in calls.
-	plainFloor = 4
-	// gossipAccounts is how many accounts of a group are told to other entries.
-	gossipAccounts = 8
-	// gossipWindow is the window that the told usage counts for.
+	// serviceRetryFloor is the number of calls of an idle plain service that may
+	// be retried per retry.Config.Hold; its work is counted in calls.
+	serviceRetryFloor = 4
+	// maxGossipAccounts is the number of accounts per group announced to other
+	// entries.
+	maxGossipAccounts = 8
+	// gossipWindow is the interval between announcements, and the window over
+	// which the announced usage is counted.
 	gossipWindow = time.Second
 )
 
-// groupKey names the backend servers that can stand in for each other.
+// groupKey identifies a set of interchangeable backend servers. The model is
+// empty for a plain service.
 type groupKey struct{ service, model string }
 
 func (r *Request) group() groupKey { return groupKey{service: r.Service, model: r.Model} }
 
-// account names a caller's use of a group to other entries.
-func (k groupKey) account(caller string) string {
+// accountName returns the name of a caller's account in the group, as gossiped.
+func (k groupKey) accountName(caller string) string {
 	return k.service + "\n" + k.model + "\n" + caller
 }
 
-// parseAccount is the reverse of account.
-func parseAccount(name string) (key groupKey, caller string, ok bool) {
+// parseAccountName is the inverse of accountName.
+func parseAccountName(name string) (key groupKey, caller string, ok bool) {
 	parts := strings.SplitN(name, "\n", 3)
 	if len(parts) != 3 {
 		return groupKey{}, "", false
@@ -45,30 +49,32 @@
 	return groupKey{service: parts[0], model: parts[1]}, parts[2], true
 }
 
-// group holds the decisions about one service or model.
+// group holds the admission, retry and outlier-detection state of one service
+// or model.
 type group struct {
-	admitter *admit.Admitter
-	meter    *shift.DemandMeter
-	// share is the retry share of budget.
-	share  float64
-	budget *retry.Budget
-	// limit is the cost tokens a second of one account, 0 without; terms holds
-	// the accounts that were given it.
-	limit    float64
-	terms    map[string]admit.AccountPolicy
-	outliers map[route.Role]*outlier.Detector
+	admitter    *admit.Admitter
+	demandMeter *shift.DemandMeter
+	// retryShare is the work that budget lets be retried per work that succeeded.
+	retryShare float64
+	budget     *retry.Budget
+	// accountLimit is the limit of each account in cost tokens per second, 0 for
+	// none; policies holds the accounts that it has been applied to.
+	accountLimit float64
+	policies     map[string]admit.AccountPolicy
+	outliers     map[route.Role]*outlier.Detector
 }
 
 func newGroup(rng *rand.Rand) *group {
 	return &group{
-		admitter: admit.New(admit.Config{Rand: rng}),
-		meter:    shift.NewDemandMeter(0),
-		outliers: map[route.Role]*outlier.Detector{},
+		admitter:    admit.New(admit.Config{Rand: rng}),
+		demandMeter: shift.NewDemandMeter(0),
+		outliers:    map[route.Role]*outlier.Detector{},
 	}
 }
 
-// outlier returns the detector of the servers that do the work of a role.
-func (g *group) outlier(role route.Role) *outlier.Detector {
+// outlierDetector returns the detector for work of the given role. Prefill and
+// decode times of one server are compared separately.
+func (g *group) outlierDetector(role route.Role) *outlier.Detector {
 	d, ok := g.outliers[role]
 	if !ok {
 		d = outlier.New(outlier.Config{})
@@ -77,23 +83,24 @@
 	return d
 }
 
-// configure applies the fleet configuration.
+// configure applies the retry share and account limit of the fleet
+// configuration. A changed value resets the budget or the policies.
 func (g *group) configure(key groupKey, share, limit float64) {
-	if g.budget == nil || share != g.share {
-		g.share = share
+	if g.budget == nil || share != g.retryShare {
+		g.retryShare = share
 		g.budget = newBudget(key, share)
 	}
-	if g.terms == nil || limit != g.limit {
-		g.limit = limit
-		g.terms = map[string]admit.AccountPolicy{}
-		g.admitter.SetPolicies(g.terms)
+	if g.policies == nil || limit != g.accountLimit {
+		g.accountLimit = limit
+		g.policies = map[string]admit.AccountPolicy{}
+		g.admitter.SetPolicies(g.policies)
 	}
 }
 
 func newBudget(key groupKey, share float64) *retry.Budget {
 	config := retry.Config{Share: share}
 	if key.model == "" {
-		config.Floor = plainFloor
+		config.Floor = serviceRetryFloor
 	}
 	return retry.New(config)
 }
@@ -123,32 +130,32 @@
 	g.configure(key, share, limit)
 }
 
-// heaviest returns the accounts to tell other entries about. Light ones matter
-// to no limit.
-func (s *state) heaviest(now time.Time) *wire.Accounts {
+// heaviestAccounts returns the usage and demand to announce to other entries.
+// Accounts with little usage are left out: they do not affect any limit.
+func (s *state) heaviestAccounts(now time.Time) *wire.Accounts {
 	accounts := &wire.Accounts{WindowMs: uint32(gossipWindow.Milliseconds())}
 	for key, g := range s.groups {
-		for _, u := range g.admitter.HeaviestAccounts(now, gossipAccounts) {
+		for _, u := range g.admitter.HeaviestAccounts(now, maxGossipAccounts) {
 			accounts.Usage = append(accounts.Usage, &wire.Accounts_Usage{
-				Caller: key.account(u.Caller),
+				Caller: key.accountName(u.Caller),
 				Tokens: uint64(u.Rate * gossipWindow.Seconds()),
 			})
 		}
 	}
-	accounts.Demand = s.toldDemand(now)
+	accounts.Demand = s.gossipDemand(now)
 	return accounts
 }
 
-// merge takes what another entry told of its heaviest accounts and its demand.
-func (s *state) merge(now time.Time, p member.PeerAccounts) {
-	s.mergeDemand(now, p)
+// mergePeerAccounts applies the usage and demand announced by another entry.
+func (s *state) mergePeerAccounts(now time.Time, p member.PeerAccounts) {
+	s.setRemoteDemand(now, p)
 	window := time.Duration(p.Accounts.GetWindowMs()) * time.Millisecond
 	if window <= 0 {
 		return
 	}
 	usages := map[groupKey][]admit.Usage{}
 	for _, u := range p.Accounts.GetUsage() {
-		if key, caller, ok := parseAccount(u.GetCaller()); ok {
+		if key, caller, ok := parseAccountName(u.GetCaller()); ok {
 			rate := float64(u.GetTokens()) / window.Seconds()
 			usages[key] = append(usages[key], admit.Usage{Caller: caller, Rate: rate})
 		}
--- a/internal/entry/router/router.go
+++ b/internal/entry/router/router.go
@@ -1,6 +1,6 @@
-// Package router is the duty of an entry that admits requests and picks their
-// backend servers. It feeds the decisions of internal/decide with load
-// reports, cache events, and what this entry itself has sent.
+// Package router is the duty of an entry that performs admission control and
+// routes requests to backend servers. It supplies the algorithms of
+// internal/decide with load reports, cache events and this entry's own requests.
 package router
 
 import (
@@ -22,16 +22,17 @@
 const (
 	inboxSize   = 1024
 	reportsSize = 1024
-	// refreshInterval is how often the router takes a new view of the fleet.
+	// refreshInterval is how often the router fetches the view of the fleet.
 	refreshInterval = 250 * time.Millisecond
-	// busyRetryAfter is what a request is told when the router's inbox is full.
-	busyRetryAfter = time.Second
-	// replyTimeout is how long a request waits for a decision. A decision takes
-	// microseconds; its reply is lost only when the duty panicked over it.
+	// overloadRetryAfter is the Retry-After when the router's inbox is full or a
+	// decision timed out.
+	overloadRetryAfter = time.Second
+	// replyTimeout bounds the wait for a decision. A decision takes microseconds;
+	// its reply is lost only if the duty panics while computing it.
 	replyTimeout = 2 * time.Second
 )
 
-// Request is what the router needs to know of a request.
+// Request holds the properties of a caller's request that routing depends on.
 type Request struct {
 	ID      string
 	Caller  string
@@ -41,63 +42,68 @@
 	// PromptTokens and OutputTokens are estimates; 1 and 0 for a call of a
 	// plain service.
 	PromptTokens, OutputTokens int
-	// Pieces is the hash chain of the prompt.
+	// PrefixBlocks is the hash chain of the prompt's KV blocks.
 	PrefixBlocks []uint64
 	Deadline     time.Time
 	Class        int
 	Idempotent   bool
-	// Keyed requests may run only at the owner of their key slot.
+	// Keyed reports that the request has an idempotency key. It may then run
+	// only at the owner of its key slot.
 	Keyed bool
-	// KeyHash chooses the slot.
+	// KeyHash is the hash of the key; it selects the slot.
 	KeyHash uint64
 
-	// The rest is the duty's: what admission has charged, and the attempts that
-	// have not begun to answer.
-	cost int
-	sent []sent
+	// The fields below belong to the duty: the cost charged at admission, and
+	// the attempts that have not started to answer.
+	costTokens int
+	unanswered []sentAttempt
 }
 
-// Outcome is how one attempt went.
+// Outcome is the outcome of one attempt at a backend server.
 type Outcome struct {
-	// Took is the time to the first piece of the answer.
+	// TimeToFirstPiece is the time to the first piece of the answer, or to the
+	// failure if there was none.
 	TimeToFirstPiece time.Duration
-	// Refused says that the backend server did not take the attempt.
+	// Rejected reports that the backend server rejected the attempt without
+	// running it.
 	Rejected bool
-	// Failed says that the backend server is to blame.
+	// Failed reports a failure caused by the backend server.
 	Failed bool
 }
 
-// Router is the duty. Its methods other than Serve may be called from any
-// goroutine.
+// Router admits and routes requests. Serve runs it; its other methods are safe
+// for concurrent use.
 type Router struct {
 	inbox   *ring.Ring[message]
 	reports *ring.Ring[links.Report]
 	state   *state
 }
 
-// Config sets a Router.
+// Config configures a Router.
 type Config struct {
-	// Region and DataCentre are where this entry is.
+	// Region and DataCentre are the location of this entry.
 	Region, DataCentre string
 	Views              view.Source
 	Explain            *explain.Log
-	// Gossip tells other entries of the heaviest accounts; nil: there are none.
+	// Gossip exchanges account usage and demand with other entries. Nil means
+	// that there are no other entries.
 	Gossip Gossip
-	// Seed of the random choices.
+	// Seed seeds the random choices.
 	Seed uint64
-	// Now is time.Now but in tests.
+	// Now returns the current time. Nil means time.Now.
 	Now func() time.Time
 }
 
-// Gossip exchanges the heaviest accounts with other entries.
+// Gossip exchanges the usage of the heaviest accounts, and the demand for each
+// model, with other entries.
 type Gossip interface {
-	// Spent tells of this entry's.
+	// AnnounceUsage announces the usage and demand of this entry.
 	AnnounceUsage(accounts *wire.Accounts)
-	// Accounts returns what others tell of theirs.
+	// Accounts returns the channel of the other entries' announcements.
 	Accounts() <-chan member.PeerAccounts
 }
 
-// noGossip is the Gossip of a lone entry.
+// noGossip is the Gossip of an entry without peers.
 type noGossip struct{}
 
 func (noGossip) AnnounceUsage(*wire.Accounts)         {}
@@ -118,21 +124,21 @@
 	}
 }
 
-// Reports takes the reports of links.
+// Reports returns the ring into which links put their reports.
 func (r *Router) Reports() *ring.Ring[links.Report] { return r.reports }
 
-// String names the duty.
+// String returns the name of the duty.
 func (r *Router) String() string { return "router" }
 
-// Serve decides until ctx ends.
+// Serve processes messages and reports until ctx ends.
 func (r *Router) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(refreshInterval)
 	defer ticker.Stop()
 	gossip := time.NewTicker(gossipWindow)
 	defer gossip.Stop()
 	now := r.state.config.Now
-	// After a panic the state may be inconsistent. What is lost with it comes
-	// again with the reports of the next second.
+	// After a panic the state may be inconsistent. The reports of the next second
+	// restore what a new one lacks.
 	r.state = newState(r.state.config)
 	r.state.refresh(now())
 	for {
@@ -140,42 +146,42 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case report := <-r.reports.C():
-			r.state.report(now(), report)
+			r.state.applyReport(now(), report)
 		case m := <-r.inbox.C():
 			m.apply(now(), r.state)
 		case <-ticker.C:
 			r.state.refresh(now())
 		case <-gossip.C:
-			r.state.config.Gossip.AnnounceUsage(r.state.heaviest(now()))
+			r.state.config.Gossip.AnnounceUsage(r.state.heaviestAccounts(now()))
 		case accounts := <-r.state.config.Gossip.Accounts():
-			r.state.merge(now(), accounts)
+			r.state.mergePeerAccounts(now(), accounts)
 		}
 	}
 }
 
-// message is something that the router is asked or told.
+// message is a request to the router, or an update. It is applied by Serve.
 type message interface {
 	apply(now time.Time, s *state)
 }
 
 type admitMessage struct {
 	request *Request
-	reply   chan<- admission
+	reply   chan<- admitReply
 }
 
-// admission is the answer to an admitMessage: the first route or the refusal.
-type admission struct {
-	route   call.Event
-	refusal *verdict.Error
+// admitReply is the reply to an admitMessage: the first route or the rejection.
+type admitReply struct {
+	route     call.Event
+	rejection *verdict.Error
 }
 
 func (m admitMessage) apply(now time.Time, s *state) {
 	if err := s.admit(now, m.request); err != nil {
-		m.reply <- admission{refusal: err}
+		m.reply <- admitReply{rejection: err}
 		return
 	}
 	first := call.Route{Attempt: 1, Remaining: m.request.Deadline.Sub(now)}
-	m.reply <- admission{route: s.route(now, m.request, first)}
+	m.reply <- admitReply{route: s.route(now, m.request, first)}
 }
 
 type routeMessage struct {
@@ -186,70 +192,71 @@
 
 func (m routeMessage) apply(now time.Time, s *state) { m.reply <- s.route(now, m.request, m.route) }
 
-type attemptedMessage struct {
+type outcomeMessage struct {
 	request *Request
 	server  string
 	outcome Outcome
 }
 
-func (m attemptedMessage) apply(now time.Time, s *state) {
-	s.attempted(now, m.request, m.server, m.outcome)
+func (m outcomeMessage) apply(now time.Time, s *state) {
+	s.recordOutcome(now, m.request, m.server, m.outcome)
 }
 
-type refusedMessage struct {
+type loadMessage struct {
 	server string
 	load   *wire.Load
 }
 
-func (m refusedMessage) apply(now time.Time, s *state) { s.load(now, m.server, m.load) }
+func (m loadMessage) apply(now time.Time, s *state) { s.setLoad(now, m.server, m.load) }
 
-type endedMessage struct {
+type finishMessage struct {
 	request   *Request
 	succeeded bool
 }
 
-func (m endedMessage) apply(now time.Time, s *state) { s.ended(now, m.request, m.succeeded) }
+func (m finishMessage) apply(now time.Time, s *state) { s.finish(now, m.request, m.succeeded) }
 
-type loadsMessage struct{ reply chan<- map[string]LoadReport }
+type loadReportsMessage struct{ reply chan<- map[string]LoadReport }
 
-func (m loadsMessage) apply(_ time.Time, s *state) { m.reply <- s.loads() }
+func (m loadReportsMessage) apply(_ time.Time, s *state) { m.reply <- s.loadReports() }
 
 type dumpMessage struct{ reply chan<- Dump }
 
 func (m dumpMessage) apply(now time.Time, s *state) { m.reply <- s.dump(now) }
 
-// Admit lets the request in, or returns why not. It answers the Route of the
-// first attempt as well: a request then waits for the duty once. An admitted
-// request must be followed by Ended.
+// Admit admits the request and returns the route of its first attempt, or
+// returns the reason for the rejection. Routing in the same step saves a round
+// trip through the inbox. An admitted request must be followed by Finish.
 func (r *Router) Admit(ctx context.Context, request *Request) (call.Event, *verdict.Error) {
-	reply := make(chan admission, 1)
+	reply := make(chan admitReply, 1)
 	if !r.inbox.Put(admitMessage{request: request, reply: reply}) {
-		return nil, busy()
+		return nil, overloadedError()
 	}
 	ctx, cancel := context.WithTimeout(ctx, replyTimeout)
 	defer cancel()
 	select {
 	case a := <-reply:
-		return a.route, a.refusal
+		return a.route, a.rejection
 	case <-ctx.Done():
-		return nil, noDecision(ctx)
+		return nil, noDecisionError(ctx)
 	}
 }
 
-// noDecision tells a caller that went away from a fault of the duty.
-func noDecision(ctx context.Context) *verdict.Error {
+// noDecisionError distinguishes a decision that timed out, which is a fault of
+// the duty, from a caller that disconnected.
+func noDecisionError(ctx context.Context) *verdict.Error {
 	if context.Cause(ctx) == context.DeadlineExceeded {
-		return verdict.NewRejection(verdict.CodeInternal, "no decision about the request", busyRetryAfter)
+		return verdict.NewRejection(verdict.CodeInternal, "no decision about the request", overloadRetryAfter)
 	}
 	return verdict.New(verdict.NotRun, verdict.CodeCancelled, "the caller went away")
 }
 
-// Route picks the backend server of an attempt. It returns call.Routed or
+// Route selects the backend server for an attempt. It returns call.Routed or
 // call.Unroutable.
 func (r *Router) Route(ctx context.Context, request *Request, route call.Route) call.Event {
 	reply := make(chan call.Event, 1)
 	if !r.inbox.Put(routeMessage{request: request, route: route, reply: reply}) {
-		return call.Unroutable{Attempt: route.Attempt, Err: busy()}
+		return call.Unroutable{Attempt: route.Attempt, Err: overloadedError()}
 	}
 	ctx, cancel := context.WithTimeout(ctx, replyTimeout)
 	defer cancel()
@@ -257,42 +264,43 @@
 	case event := <-reply:
 		return event
 	case <-ctx.Done():
-		return call.Unroutable{Attempt: route.Attempt, Err: noDecision(ctx)}
+		return call.Unroutable{Attempt: route.Attempt, Err: noDecisionError(ctx)}
 	}
 }
 
-func busy() *verdict.Error {
-	return verdict.NewRejection(verdict.CodeOverloaded, "the entry is overloaded", busyRetryAfter)
+func overloadedError() *verdict.Error {
+	return verdict.NewRejection(verdict.CodeOverloaded, "the entry is overloaded", overloadRetryAfter)
 }
 
-// Attempted tells that an attempt at server no longer waits: it began to
-// answer, was refused or failed.
+// ReportOutcome reports that an attempt at server is no longer queued: it
+// started to answer, was rejected or failed.
 func (r *Router) ReportOutcome(request *Request, server string, outcome Outcome) {
-	r.tell(attemptedMessage{request: request, server: server, outcome: outcome})
+	r.send(outcomeMessage{request: request, server: server, outcome: outcome})
 }
 
-// Refused passes on the fresh load that came with a refusal.
+// UpdateLoad updates the load of server from a report that came with a rejection.
 func (r *Router) UpdateLoad(server string, load *wire.Load) {
-	r.tell(refusedMessage{server: server, load: load})
+	r.send(loadMessage{server: server, load: load})
 }
 
-// Ended tells that an admitted request ended, and whether its caller got a
-// whole answer.
+// Finish releases an admitted request. Succeeded reports whether its caller got
+// the complete answer.
 func (r *Router) Finish(request *Request, succeeded bool) {
-	r.tell(endedMessage{request: request, succeeded: succeeded})
+	r.send(finishMessage{request: request, succeeded: succeeded})
 }
 
-// tellTimeout bounds the wait for room in the inbox. What is lost by it
-// corrects itself: pictures expire and accounts decay.
-const tellTimeout = time.Second
+// sendTimeout bounds the wait for space in the inbox. A message dropped after
+// it does no lasting harm: tracked requests expire and account usage decays.
+const sendTimeout = time.Second
 
-func (r *Router) tell(m message) {
-	ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
+func (r *Router) send(m message) {
+	ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 	defer cancel()
 	_ = r.inbox.PutWait(ctx, m)
 }
 
-// Load is the last report of a backend server and how its link is.
+// LoadReport is the last load report of a backend server and the state of its
+// link.
 type LoadReport struct {
 	ReceivedAt time.Time
 	Load       *wire.Load
@@ -300,26 +308,27 @@
 	Drained    bool
 }
 
-// Loads returns the last report of each backend server.
+// LoadReports returns the last load report of each backend server. Its Load is
+// nil for a server that has not sent one.
 func (r *Router) LoadReports(ctx context.Context) (map[string]LoadReport, error) {
 	reply := make(chan map[string]LoadReport, 1)
-	return ask(ctx, r, loadsMessage{reply: reply}, reply)
+	return query(ctx, r, loadReportsMessage{reply: reply}, reply)
 }
 
-// Dump returns the state of the duty, as a Dump.
+// Dump returns the state of the router as a Dump, or the text of an error.
 func (r *Router) Dump(ctx context.Context) any {
 	reply := make(chan Dump, 1)
-	d, err := ask(ctx, r, dumpMessage{reply: reply}, reply)
+	d, err := query(ctx, r, dumpMessage{reply: reply}, reply)
 	if err != nil {
 		return eris.ToString(err, false)
 	}
 	return d
 }
 
-// ask puts a question and waits for its answer.
-func ask[T any](ctx context.Context, r *Router, question message, reply <-chan T) (T, error) {
+// query puts a message into the inbox and waits for the reply.
+func query[T any](ctx context.Context, r *Router, m message, reply <-chan T) (T, error) {
 	var none T
-	if err := r.inbox.PutWait(ctx, question); err != nil {
+	if err := r.inbox.PutWait(ctx, m); err != nil {
 		return none, eris.Wrap(err, "ask the router")
 	}
 	select {
--- a/internal/entry/router/router_test.go
+++ b/internal/entry/router/router_test.go
@@ -39,7 +39,7 @@
 	return sharedstate.VM{Name: name, Kind: sharedstate.VMBackend, Region: "seoul", DataCentre: "gangnam", Service: service}
 }
 
-// fixture drives the router's state in virtual time.
+// fixture runs the router's state with a simulated clock.
 type fixture struct {
 	now   time.Time
 	views *fixedView
@@ -60,143 +60,143 @@
 	}
 }
 
-// change publishes another view.
-func (f *fixture) change(v view.View) {
+// setView publishes another view of the fleet.
+func (f *fixture) setView(v view.View) {
 	f.views.view = &v
 	f.state.refresh(f.now)
 }
 
-func (f *fixture) engine(name, role string) {
-	f.state.report(f.now, links.Report{Server: name, State: links.Up, Load: &wire.Load{
+func (f *fixture) addEngine(name, role string) {
+	f.state.applyReport(f.now, links.Report{Server: name, State: links.Up, Load: &wire.Load{
 		Slots: 8, Role: role, Models: []string{"draft"}, Admitting: true, PrefillRate: 10_000, DecodeRate: 2_000,
 	}})
 }
 
-func (f *fixture) service(name string) {
-	f.state.report(f.now, links.Report{Server: name, State: links.Up, Load: &wire.Load{Slots: 4, Admitting: true, ServiceMs: 5}})
+func (f *fixture) addServiceBackend(name string) {
+	f.state.applyReport(f.now, links.Report{Server: name, State: links.Up, Load: &wire.Load{Slots: 4, Admitting: true, ServiceMs: 5}})
 }
 
-func (f *fixture) draft() *Request {
+func (f *fixture) draftRequest() *Request {
 	return &Request{
 		ID: "r", Caller: "c", Service: sharedstate.ServiceModels, Model: "draft",
 		PromptTokens: 20_000, OutputTokens: 100, Deadline: f.now.Add(time.Minute), Idempotent: true,
 	}
 }
 
-func (f *fixture) hold() *Request {
+func (f *fixture) holdRequest() *Request {
 	return &Request{ID: "r", Caller: "c", Service: "holds", PromptTokens: 1, Deadline: f.now.Add(time.Minute), Keyed: true, KeyHash: 3}
 }
 
-func (f *fixture) route(r *Request, ask call.Route) call.Event {
-	ask.Attempt = 1
-	ask.Remaining = time.Minute
-	return f.state.route(f.now, r, ask)
+func (f *fixture) route(r *Request, effect call.Route) call.Event {
+	effect.Attempt = 1
+	effect.Remaining = time.Minute
+	return f.state.route(f.now, r, effect)
 }
 
 var _ = Describe("Routing", func() {
-	// A backend server is on its way out. Each of three signs may come first;
-	// work sent after any of them is refused, or cut when the VM goes.
-	DescribeTable("sends nothing to a backend server that is leaving",
+	// Guards against requests to a leaving backend server: they are rejected, or cut
+	// when the VM stops. Any of these signals may arrive first.
+	DescribeTable("does not route to a backend server that is leaving",
 		func(leave func(f *fixture)) {
 			f := newFixture(backend("a", sharedstate.ServiceModels), backend("b", sharedstate.ServiceModels))
-			f.engine("a", "mixed")
-			f.engine("b", "mixed")
+			f.addEngine("a", "mixed")
+			f.addEngine("b", "mixed")
 			leave(f)
 			for range 20 {
-				Expect(f.route(f.draft(), call.Route{})).To(Equal(call.Routed{Attempt: 1, Server: "b"}))
+				Expect(f.route(f.draftRequest(), call.Route{})).To(Equal(call.Routed{Attempt: 1, Server: "b"}))
 			}
 		},
-		Entry("the VM list says so", func(f *fixture) {
+		Entry("VM list: leaving", func(f *fixture) {
 			leaving := backend("a", sharedstate.ServiceModels)
 			leaving.Leaving = true
-			f.change(view.View{VMs: []sharedstate.VM{leaving, backend("b", sharedstate.ServiceModels)}})
+			f.setView(view.View{VMs: []sharedstate.VM{leaving, backend("b", sharedstate.ServiceModels)}})
 		}),
-		Entry("it is gone from the VM list", func(f *fixture) {
-			f.change(view.View{VMs: []sharedstate.VM{backend("b", sharedstate.ServiceModels)}})
+		Entry("VM list: removed", func(f *fixture) {
+			f.setView(view.View{VMs: []sharedstate.VM{backend("b", sharedstate.ServiceModels)}})
 		}),
-		Entry("its heartbeat says so", func(f *fixture) {
-			f.state.report(f.now, links.Report{Server: "a", State: links.Draining})
+		Entry("heartbeat: draining", func(f *fixture) {
+			f.state.applyReport(f.now, links.Report{Server: "a", State: links.Draining})
 		}),
-		Entry("its link is silent", func(f *fixture) {
-			f.state.report(f.now, links.Report{Server: "a", State: links.Down})
+		Entry("link: down", func(f *fixture) {
+			f.state.applyReport(f.now, links.Report{Server: "a", State: links.Down})
 		}),
-		Entry("operators drained it", func(f *fixture) {
+		Entry("fleet configuration: drained", func(f *fixture) {
 			drained := true
 			v := *f.views.view
 			v.Config.Exceptions = []fleetconfig.Exception{{
 				Scope: fleetconfig.Scope{BackendServer: "a"}, Values: fleetconfig.Values{Drained: &drained},
 			}}
-			f.change(v)
+			f.setView(v)
 		}),
 	)
 
 	It("picks a prefill and a decode engine together", func() {
 		f := newFixture(backend("p", sharedstate.ServiceModels), backend("d", sharedstate.ServiceModels))
-		f.engine("p", "prefill")
-		f.engine("d", "decode")
-		Expect(f.route(f.draft(), call.Route{})).To(Equal(call.Routed{Attempt: 1, Server: "d", PrefillServer: "p"}))
+		f.addEngine("p", "prefill")
+		f.addEngine("d", "decode")
+		Expect(f.route(f.draftRequest(), call.Route{})).To(Equal(call.Routed{Attempt: 1, Server: "d", PrefillServer: "p"}))
 	})
 
-	It("lets a decode engine read the prompt when there is no prefill engine", func() {
+	It("lets a decode engine prefill the prompt when there is no prefill engine", func() {
 		f := newFixture(backend("d", sharedstate.ServiceModels))
-		f.engine("d", "decode")
-		Expect(f.route(f.draft(), call.Route{})).To(Equal(call.Routed{Attempt: 1, Server: "d"}))
+		f.addEngine("d", "decode")
+		Expect(f.route(f.draftRequest(), call.Route{})).To(Equal(call.Routed{Attempt: 1, Server: "d"}))
 	})
 
-	It("spreads its own requests before the next report comes", func() {
+	It("balances its own requests between load reports", func() {
 		f := newFixture(backend("a", sharedstate.ServiceModels), backend("b", sharedstate.ServiceModels))
-		f.engine("a", "mixed")
-		f.engine("b", "mixed")
+		f.addEngine("a", "mixed")
+		f.addEngine("b", "mixed")
 		f.now = f.now.Add(time.Millisecond)
 		servers := map[string]int{}
 		for i := range 20 {
-			r := f.draft()
+			r := f.draftRequest()
 			r.ID = string(rune('a' + i))
 			servers[f.route(r, call.Route{}).(call.Routed).Server]++
 		}
 		Expect(servers).To(Equal(map[string]int{"a": 10, "b": 10}))
 	})
 
-	// All engines but one are gone, and that one broke the stream off before. A
-	// draft that has begun goes back to it, for the only other way is to break
-	// off in front of the booker.
-	It("continues an answer where it broke off rather than not at all", func() {
+	// Guards against a needlessly aborted answer: the only engine left is the one
+	// that failed the stream before, and is therefore excluded. An answer that has
+	// started is resumed there, since the alternative is to break it off.
+	It("resumes an answer on the server that failed it when no other is left", func() {
 		f := newFixture(backend("a", sharedstate.ServiceModels))
-		f.engine("a", "mixed")
-		again := call.Route{Excluded: []string{"a"}, Retry: &call.Retry{Sent: true}, Resume: true}
-		Expect(f.route(f.draft(), again)).To(Equal(call.Routed{Attempt: 1, Server: "a"}))
+		f.addEngine("a", "mixed")
+		resume := call.Route{Excluded: []string{"a"}, Retry: &call.Retry{Sent: true}, Resume: true}
+		Expect(f.route(f.draftRequest(), resume)).To(Equal(call.Routed{Attempt: 1, Server: "a"}))
 	})
 })
 
 var _ = Describe("Retries", func() {
-	// Every engine breaks what it gets. Each request tried again everywhere
-	// would multiply the load that the engines fail under.
-	It("stop when nothing succeeds any more", func() {
+	// Guards against a retry storm: every engine fails all its requests, and
+	// retrying each on every engine would multiply the load that they fail under.
+	It("stop when no request succeeds", func() {
 		f := newFixture(backend("a", sharedstate.ServiceModels), backend("b", sharedstate.ServiceModels))
-		f.engine("a", "mixed")
-		f.engine("b", "mixed")
-		refused := 0
+		f.addEngine("a", "mixed")
+		f.addEngine("b", "mixed")
+		rejected := 0
 		for range 20 {
-			r := f.draft()
+			r := f.draftRequest()
 			r.PromptTokens = 1_000
 			Expect(f.state.admit(f.now, r)).To(BeNil())
 			event := f.route(r, call.Route{Excluded: []string{"a"}, Retry: &call.Retry{Sent: true}})
 			if _, ok := event.(call.Unroutable); ok {
-				refused++
+				rejected++
 			}
 		}
-		Expect(refused).To(BeNumerically(">", 15))
+		Expect(rejected).To(BeNumerically(">", 15))
 	})
 
-	// An engine changes its role and hands its streams over, more than the
-	// budget for failures holds. None may be cut.
-	It("need no budget after a planned change", func() {
+	// Guards against cut streams on a role change: the engine hands over more
+	// streams than the retry budget covers.
+	It("do not use the retry budget after a planned change", func() {
 		f := newFixture(backend("a", sharedstate.ServiceModels), backend("b", sharedstate.ServiceModels))
-		f.engine("a", "mixed")
-		f.engine("b", "mixed")
+		f.addEngine("a", "mixed")
+		f.addEngine("b", "mixed")
 		for range 50 {
-			r := f.draft()
-			r.cost = 10_000
+			r := f.draftRequest()
+			r.costTokens = 10_000
 			handedOver := call.Route{Excluded: []string{"a"}, Retry: &call.Retry{Sent: true, ServerDraining: true}}
 			Expect(f.route(r, handedOver)).To(Equal(call.Routed{Attempt: 1, Server: "b"}))
 		}
@@ -204,32 +204,32 @@
 })
 
 var _ = Describe("Keyed requests", func() {
-	planned := func(f *fixture, owners ...string) {
+	setOwners := func(f *fixture, owners ...string) {
 		v := *f.views.view
 		v.Plan = &plan.Plan{Slots: map[string]plan.Slots{"holds": {Owners: owners}}}
-		f.change(v)
+		f.setView(v)
 	}
 
-	It("go to the owner of their slot alone", func() {
+	It("are routed only to the owner of their key slot", func() {
 		f := newFixture(backend("a", "holds"), backend("b", "holds"))
-		f.service("a")
-		f.service("b")
-		planned(f, "a", "b")
-		Expect(f.route(f.hold(), call.Route{})).To(Equal(call.Routed{Attempt: 1, Server: "b"}))
+		f.addServiceBackend("a")
+		f.addServiceBackend("b")
+		setOwners(f, "a", "b")
+		Expect(f.route(f.holdRequest(), call.Route{})).To(Equal(call.Routed{Attempt: 1, Server: "b"}))
 	})
 
-	It("wait while the owner leaves", func() {
+	It("wait while the owner is draining", func() {
 		f := newFixture(backend("a", "holds"), backend("b", "holds"))
-		f.service("a")
-		f.state.report(f.now, links.Report{Server: "b", State: links.Draining})
-		planned(f, "a", "b")
-		Expect(f.route(f.hold(), call.Route{}).(call.Unroutable).RetryIn).To(BeNumerically(">", 0))
+		f.addServiceBackend("a")
+		f.state.applyReport(f.now, links.Report{Server: "b", State: links.Draining})
+		setOwners(f, "a", "b")
+		Expect(f.route(f.holdRequest(), call.Route{}).(call.Unroutable).RetryIn).To(BeNumerically(">", 0))
 	})
 
-	It("are refused at once without a plan", func() {
+	It("are rejected immediately without a plan", func() {
 		f := newFixture(backend("a", "holds"))
-		f.service("a")
-		event := f.route(f.hold(), call.Route{}).(call.Unroutable)
+		f.addServiceBackend("a")
+		event := f.route(f.holdRequest(), call.Route{}).(call.Unroutable)
 		Expect(event.RetryIn).To(BeZero())
 		Expect(event.Err.RetryAfter).To(BeNumerically(">", 0))
 		Expect(event.Err.Verdict).To(Equal(verdict.NotRun))
@@ -237,72 +237,73 @@
 })
 
 var _ = Describe("Admission", func() {
-	It("refuses what no backend server admits", func() {
+	It("rejects requests that no backend server admits", func() {
 		f := newFixture(backend("a", sharedstate.ServiceModels))
-		Expect(f.state.admit(f.now, f.draft()).Code).To(Equal(verdict.CodeNoBackend))
+		Expect(f.state.admit(f.now, f.draftRequest()).Code).To(Equal(verdict.CodeNoBackend))
 	})
 
-	It("holds each account to the limit that operators set", func() {
+	It("enforces the account limit that operators set", func() {
 		f := newFixture(backend("a", sharedstate.ServiceModels))
-		f.engine("a", "mixed")
+		f.addEngine("a", "mixed")
 		v := *f.views.view
 		limit := 1_000
 		v.Config.Defaults.AccountTokensPerSecond = &limit
-		f.change(v)
-		var refusal *verdict.Error
+		f.setView(v)
+		var rejection *verdict.Error
 		for range 5 {
-			refusal = f.state.admit(f.now, f.draft())
+			rejection = f.state.admit(f.now, f.draftRequest())
 		}
-		Expect(refusal.Code).To(Equal(verdict.CodeAccountLimit))
-		other := f.draft()
+		Expect(rejection.Code).To(Equal(verdict.CodeAccountLimit))
+		other := f.draftRequest()
 		other.Caller = "other"
 		Expect(f.state.admit(f.now, other)).To(BeNil())
 	})
 
-	// A caller spreads its work over all entries and looks light at each.
-	It("counts what other entries tell of an account", func() {
+	// Guards against a caller that evades its limit by spreading its requests over
+	// all entries, so that its usage is low at each of them.
+	It("counts the usage of an account that other entries announce", func() {
 		f := newFixture(backend("a", sharedstate.ServiceModels))
-		f.engine("a", "mixed")
+		f.addEngine("a", "mixed")
 		v := *f.views.view
 		limit := 1_000
 		v.Config.Defaults.AccountTokensPerSecond = &limit
-		f.change(v)
-		Expect(f.state.admit(f.now, f.draft())).To(BeNil())
-		told := f.state.heaviest(f.now)
+		f.setView(v)
+		Expect(f.state.admit(f.now, f.draftRequest())).To(BeNil())
+		announced := f.state.heaviestAccounts(f.now)
 
 		g := newFixture(backend("a", sharedstate.ServiceModels))
-		g.engine("a", "mixed")
-		g.change(v)
-		light := g.draft()
+		g.addEngine("a", "mixed")
+		g.setView(v)
+		light := g.draftRequest()
 		light.PromptTokens, light.Caller = 1, "other"
 		Expect(g.state.admit(g.now, light)).To(BeNil())
-		g.state.merge(g.now, member.PeerAccounts{Process: "entry-2", Accounts: told})
-		Expect(g.state.admit(g.now, g.draft()).Code).To(Equal(verdict.CodeAccountLimit))
+		g.state.mergePeerAccounts(g.now, member.PeerAccounts{Process: "entry-2", Accounts: announced})
+		Expect(g.state.admit(g.now, g.draftRequest()).Code).To(Equal(verdict.CodeAccountLimit))
 	})
 })
 
 var _ = Describe("Demand", func() {
-	// Callers are spread over the entries, and each entry sees a part of the mix.
-	// A planner that goes by its own part would size the roles for a fraction of
-	// the work. What admission turned away counts as far as its caller was
-	// entitled to it, which the tests of admit show.
-	It("adds up what all entries are offered", func() {
+	// Guards against undersized roles: each entry receives only a fraction of the
+	// callers, so a planner that uses its own demand would plan for a fraction of
+	// the work. Rejected work counts up to what its caller is entitled to, which the
+	// tests of package admit cover.
+	It("sums the demand of all entries", func() {
 		f := newFixture(backend("a", sharedstate.ServiceModels))
-		f.engine("a", "mixed")
+		f.addEngine("a", "mixed")
 		for range 50 {
-			Expect(f.state.admit(f.now, f.draft())).To(BeNil())
+			Expect(f.state.admit(f.now, f.draftRequest())).To(BeNil())
 		}
-		own := f.state.demand(f.now)["draft"]
-		offered := f.state.groups[f.draft().group()].meter.Demand(f.now)
+		own := f.state.regionDemand(f.now)["draft"]
+		offered := f.state.groups[f.draftRequest().group()].demandMeter.Demand(f.now)
 		Expect(own.PrefillTokens).To(BeNumerically("~", offered.PrefillTokens, 1))
 		Expect(own.PrefillTokens).To(BeNumerically(">", 0))
 
-		f.state.merge(f.now, member.PeerAccounts{Process: "entry-2", Accounts: f.state.heaviest(f.now)})
-		both := f.state.demand(f.now)["draft"]
+		f.state.mergePeerAccounts(f.now, member.PeerAccounts{Process: "entry-2", Accounts: f.state.heaviestAccounts(f.now)})
+		both := f.state.regionDemand(f.now)["draft"]
 		Expect(both.PrefillTokens).To(BeNumerically("~", 2*own.PrefillTokens, 1))
 
-		later := f.now.Add(demandFresh + time.Second)
-		Expect(f.state.demand(later)["draft"].PrefillTokens).To(BeNumerically("<", own.PrefillTokens))
+		later := f.now.Add(remoteDemandTTL + time.Second)
+		Expect(f.state.regionDemand(later)["draft"].PrefillTokens).To(BeNumerically("<", own.PrefillTokens))
 		Expect(f.state.remoteDemand).To(BeEmpty())
 	})
 })
@@ -312,9 +313,10 @@
 func (panicMessage) apply(time.Time, *state) { panic("fault of the duty") }
 
 var _ = Describe("Router", func() {
-	// A fault in a decision brings the duty down. The requests that wait for it
-	// get a verdict, and later ones are served: nobody restarts the process.
-	It("comes back after a panic", func() {
+	// Guards against an entry that stays broken after a panic in a decision, since
+	// the process is not restarted: waiting requests must get a verdict, and later
+	// ones must be served.
+	It("recovers after a panic", func() {
 		f := newFixture(backend("a", sharedstate.ServiceModels))
 		config := f.config()
 		config.Now = time.Now
@@ -329,7 +331,7 @@
 		})
 
 		Expect(r.inbox.Put(panicMessage{})).To(BeTrue())
-		request := f.draft()
+		request := f.draftRequest()
 		request.Deadline = time.Now().Add(time.Minute)
 		var routed call.Event
 		Eventually(func() verdict.Code {
--- a/internal/entry/router/state.go
+++ b/internal/entry/router/state.go
@@ -12,21 +12,22 @@
 	"pistachioroad.dev/pistachioroad/internal/wire"
 )
 
-// configureInterval is how often exceptions are looked at for expiry.
+// configureInterval is how often exceptions in the fleet configuration are
+// checked for expiry.
 const configureInterval = 2 * time.Second
 
-// state is what the router knows. It belongs to the goroutine of Serve.
+// state is the state of the router. Only the goroutine of Serve accesses it.
 type state struct {
 	config  Config
 	rng     *rand.Rand
 	view    *view.View
 	servers map[string]*server
-	// prefills and decodes are the pictures of the two kinds of work; calls of
-	// plain services count as prefills.
-	prefills, decodes *route.LoadTracker
-	prefix            *route.PrefixIndex
-	groups            map[groupKey]*group
-	// remoteDemand is keyed by the name of the other entry.
+	// prefillLoads and decodeLoads track the load of the backend servers for each
+	// kind of work; calls of plain services count as prefills.
+	prefillLoads, decodeLoads *route.LoadTracker
+	prefixIndex               *route.PrefixIndex
+	groups                    map[groupKey]*group
+	// remoteDemand holds the demand announced by each other entry.
 	remoteDemand map[string]remoteDemand
 	// configuredAt is when the configuration was last applied.
 	configuredAt time.Time
@@ -36,50 +37,52 @@
 type server struct {
 	vm   sharedstate.VM
 	link links.State
-	// load is the last report, nil before the first; loadAt is when it came.
-	load   *wire.Load
-	loadAt time.Time
-	// drained says that operators have taken it out of service.
+	// load is the last load report, nil before the first; loadReceivedAt is when
+	// it was received.
+	load           *wire.Load
+	loadReceivedAt time.Time
+	// drained reports that operators have taken the server out of service.
 	drained bool
-	// lastEvent is the sequence number of the last cache event.
-	lastEvent uint64
+	// lastEventSequence is the highest sequence number of a cache event.
+	lastEventSequence uint64
 }
 
 func newState(config Config) *state {
 	return &state{
-		config:   config,
-		rng:      rand.New(rand.NewPCG(config.Seed, 0)),
-		view:     &view.View{},
-		servers:  map[string]*server{},
-		prefills: route.NewLoadTracker(),
-		decodes:  route.NewLoadTracker(),
-		prefix:   route.NewPrefixIndex(0),
-		groups:   map[groupKey]*group{},
+		config:       config,
+		rng:          rand.New(rand.NewPCG(config.Seed, 0)),
+		view:         &view.View{},
+		servers:      map[string]*server{},
+		prefillLoads: route.NewLoadTracker(),
+		decodeLoads:  route.NewLoadTracker(),
+		prefixIndex:  route.NewPrefixIndex(0),
+		groups:       map[groupKey]*group{},
 
 		remoteDemand: map[string]remoteDemand{},
 	}
 }
 
-func (s *state) picture(role route.Role) *route.LoadTracker {
+// loadTracker returns the load tracker for work of the given role.
+func (s *state) loadTracker(role route.Role) *route.LoadTracker {
 	if role == route.Decode {
-		return s.decodes
+		return s.decodeLoads
 	}
-	return s.prefills
+	return s.prefillLoads
 }
 
-// refresh takes a new view of the fleet.
+// refresh fetches the view of the fleet and applies it if it has changed.
 func (s *state) refresh(now time.Time) {
 	next := s.config.Views.View()
 	changed := next != s.view
 	if changed {
-		s.adopt(now, next)
+		s.setView(now, next)
 	}
 	if changed || now.Sub(s.configuredAt) >= configureInterval {
 		s.configure(now)
 	}
 }
 
-func (s *state) adopt(now time.Time, next *view.View) {
+func (s *state) setView(now time.Time, next *view.View) {
 	s.view = next
 	listed := map[string]bool{}
 	for _, vm := range next.Backends() {
@@ -91,23 +94,24 @@
 	}
 	for name := range s.servers {
 		if !listed[name] {
-			s.forget(name)
+			s.removeServer(name)
 		}
 	}
 }
 
-func (s *state) setVM(now time.Time, known *server, vm sharedstate.VM) {
-	if vm.Leaving && !known.vm.Leaving {
+func (s *state) setVM(now time.Time, srv *server, vm sharedstate.VM) {
+	if vm.Leaving && !srv.vm.Leaving {
 		s.explain(now, vm.Name, "gets no new work", "leaving, by the VM list")
 	}
-	known.vm = vm
+	srv.vm = vm
 }
 
-func (s *state) forget(name string) {
+// removeServer discards all that is known of a backend server.
+func (s *state) removeServer(name string) {
 	delete(s.servers, name)
-	s.prefills.RemoveServer(name)
-	s.decodes.RemoveServer(name)
-	s.prefix.RemoveServer(name)
+	s.prefillLoads.RemoveServer(name)
+	s.decodeLoads.RemoveServer(name)
+	s.prefixIndex.RemoveServer(name)
 	for _, g := range s.groups {
 		for _, d := range g.outliers {
 			d.Forget(name)
@@ -115,28 +119,28 @@
 	}
 }
 
-// configure applies the fleet configuration. Exceptions expire, so it is done
-// also without a new view.
+// configure applies the fleet configuration. It also runs without a new view
+// because exceptions expire.
 func (s *state) configure(now time.Time) {
 	s.configuredAt = now
-	for name, known := range s.servers {
+	for name, srv := range s.servers {
 		values := s.view.Config.For(fleetconfig.Scope{
-			Service:       known.vm.Service,
-			DataCentre:    known.vm.DataCentre,
+			Service:       srv.vm.Service,
+			DataCentre:    srv.vm.DataCentre,
 			BackendServer: name,
 		}, now)
-		s.setDrained(now, name, known, values.Drained != nil && *values.Drained)
+		s.setDrained(now, name, srv, values.Drained != nil && *values.Drained)
 	}
 	for key, g := range s.groups {
 		s.configureGroup(key, g, now)
 	}
 }
 
-func (s *state) setDrained(now time.Time, name string, known *server, drained bool) {
-	if known.drained == drained {
+func (s *state) setDrained(now time.Time, name string, srv *server, drained bool) {
+	if srv.drained == drained {
 		return
 	}
-	known.drained = drained
+	srv.drained = drained
 	decision := "taken back into service"
 	if drained {
 		decision = "out of service"
@@ -144,45 +148,46 @@
 	s.explain(now, name, decision, "fleet configuration")
 }
 
-// report takes what a link learned.
-func (s *state) report(now time.Time, r links.Report) {
-	known, ok := s.servers[r.Server]
+// applyReport applies a report of a link.
+func (s *state) applyReport(now time.Time, r links.Report) {
+	srv, ok := s.servers[r.Server]
 	if !ok {
-		// The link can know a VM before the next refresh does.
+		// The link may have seen a VM list newer than the last refresh.
 		s.refresh(now)
-		if known, ok = s.servers[r.Server]; !ok {
+		if srv, ok = s.servers[r.Server]; !ok {
 			return
 		}
 	}
-	if known.link != r.State {
-		s.explain(now, r.Server, "link "+r.State.String(), "was "+known.link.String()+"; only a link that is up gets new work")
-		known.link = r.State
+	if srv.link != r.State {
+		s.explain(now, r.Server, "link "+r.State.String(), "was "+srv.link.String()+"; only a link that is up gets new work")
+		srv.link = r.State
 	}
 	switch {
 	case r.Load != nil:
-		s.load(now, r.Server, r.Load)
+		s.setLoad(now, r.Server, r.Load)
 	case r.Events != nil:
-		s.cacheEvents(now, known, r)
+		s.applyCacheEvents(now, srv, r)
 	}
 }
 
-// load takes a backend server's own account of its work.
-func (s *state) load(now time.Time, name string, load *wire.Load) {
-	known, ok := s.servers[name]
+// setLoad applies a load report of a backend server.
+func (s *state) setLoad(now time.Time, name string, load *wire.Load) {
+	srv, ok := s.servers[name]
 	if !ok {
 		return
 	}
-	if known.load != nil && known.load.GetRole() != load.GetRole() {
-		s.roleChanged(name)
+	if srv.load != nil && srv.load.GetRole() != load.GetRole() {
+		s.resetOutlierStats(name)
 	}
-	known.load, known.loadAt = load, now
-	translated := loadOf(known)
-	s.prefills.Report(now, name, translated)
-	s.decodes.Report(now, name, translated)
+	srv.load, srv.loadReceivedAt = load, now
+	translated := routeLoad(srv)
+	s.prefillLoads.Report(now, name, translated)
+	s.decodeLoads.Report(now, name, translated)
 }
 
-// roleChanged forgets how fast a server was: its work is another now.
-func (s *state) roleChanged(name string) {
+// resetOutlierStats discards the latency and failure statistics of a server
+// whose role has changed: they do not apply to its new work.
+func (s *state) resetOutlierStats(name string) {
 	for _, g := range s.groups {
 		for _, d := range g.outliers {
 			d.Forget(name)
@@ -190,22 +195,23 @@
 	}
 }
 
-// cacheEvents takes late reports of what an engine caches. A gap in their
-// numbers may have hidden an eviction.
-func (s *state) cacheEvents(now time.Time, known *server, r links.Report) {
+// applyCacheEvents updates the prefix index from an engine's cache events, which
+// arrive with a delay. A gap in their sequence numbers may hide an eviction.
+func (s *state) applyCacheEvents(now time.Time, srv *server, r links.Report) {
 	first := r.Events.GetFirstSequence()
-	if known.lastEvent > 0 && first > known.lastEvent+1 {
-		s.prefix.EventsLost(now, r.Server)
+	if srv.lastEventSequence > 0 && first > srv.lastEventSequence+1 {
+		s.prefixIndex.EventsLost(now, r.Server)
 	}
-	known.lastEvent = max(known.lastEvent, first)
-	s.prefix.AddStored(now, r.Server, r.Events.GetStored())
-	s.prefix.RemoveEvicted(r.Server, r.Events.GetEvicted())
+	srv.lastEventSequence = max(srv.lastEventSequence, first)
+	s.prefixIndex.AddStored(now, r.Server, r.Events.GetStored())
+	s.prefixIndex.RemoveEvicted(r.Server, r.Events.GetEvicted())
 }
 
-// loadOf translates a report. Calls of a plain service count as prompts of one
-// token, so that their wait is worked out like that of a prefill.
-func loadOf(known *server) route.Load {
-	l := known.load
+// routeLoad converts a load report for package route. Calls of a plain service
+// count as prompts of one token, so that their queue delay is computed like that
+// of prefills.
+func routeLoad(srv *server) route.Load {
+	l := srv.load
 	load := route.Load{
 		QueuedTokens:  int(l.GetQueuedTokens()),
 		RunningTokens: int(l.GetRunningTokens()),
@@ -216,18 +222,19 @@
 		PrefillRate:   l.GetPrefillRate(),
 		DecodeRate:    l.GetDecodeRate(),
 	}
-	if known.vm.Service != sharedstate.ServiceModels {
+	if srv.vm.Service != sharedstate.ServiceModels {
 		load.QueuedTokens = load.Queued
 		load.PrefillRate = callRate(l)
 	}
 	return load
 }
 
-// callRate is how many calls a second a plain backend server finishes.
+// callRate returns how many calls per second a backend server of a plain service
+// finishes.
 func callRate(l *wire.Load) float64 {
 	callTime := time.Duration(l.GetServiceMs() * float64(time.Millisecond))
 	if callTime <= 0 {
-		callTime = defaultCallTime
+		callTime = defaultServiceTime
 	}
 	return float64(max(1, l.GetSlots())) / callTime.Seconds()
 }
