--- a/internal/decide/route/filter_admitting.go
+++ b/internal/decide/route/filter_admitting.go
@@ -1,7 +1,7 @@
 package route
 
-// AdmittingFilter drops candidates that drain, change or leave: work sent there
-// would be refused, or cut.
+// AdmittingFilter drops candidates that do not admit requests or are leaving:
+// they would reject the request or abort it.
 type AdmittingFilter struct{}
 
 // Keep implements Filter.
--- a/internal/decide/route/filter_excluded.go
+++ b/internal/decide/route/filter_excluded.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// ExcludedFilter drops candidates that an earlier attempt has tried.
+// ExcludedFilter drops candidates that the request must not be sent to again.
 type ExcludedFilter struct{}
 
 // Keep implements Filter.
--- a/internal/decide/route/filter_serves.go
+++ b/internal/decide/route/filter_serves.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// ServesFilter keeps candidates that serve the request's service, model,
-// adapter and role.
+// ServesFilter keeps candidates that serve the service, model, adapter and role
+// of the request.
 type ServesFilter struct{}
 
 // Keep implements Filter.
@@ -21,6 +21,6 @@
 	if r.Role == "" || c.Role == r.Role || c.Role == Mixed {
 		return true
 	}
-	spills := r.Role == Prefill && c.Role == Decode
-	return spills && c.MaxSpilloverPrompt > 0 && uncached(r, c) <= c.MaxSpilloverPrompt
+	spillover := r.Role == Prefill && c.Role == Decode
+	return spillover && c.MaxSpilloverPrompt > 0 && uncached(r, c) <= c.MaxSpilloverPrompt
 }
--- a/internal/decide/route/route.go
+++ b/internal/decide/route/route.go
@@ -1,17 +1,17 @@
 // Package route picks the backend server for a request.
 //
-// It answers shifting prefixes, hot keys and stale reports. Round robin sends a
-// prompt where its prefix is not cached, and prefills the same portfolio at
-// every engine; least connections takes a prompt of fifty thousand tokens for
-// one of five hundred; and entries that all trust the same late report send
-// everything to the one engine that was idle a second ago, which one notices
-// by queues that swing from engine to engine. Pick takes the least expected
-// time to first token, the wait plus the uncached prefill, where the wait is
-// the last report corrected by what this entry has sent since, and chooses
-// between two among near-equals so that entries do not herd.
+// It handles shifting prefixes, hot keys and stale load reports. Round robin
+// ignores the prefix cache and prefills a shared prefix on every engine. Least
+// connections counts a prompt of 50,000 tokens like one of 500. Entries that all
+// rely on the same stale report send everything to the engine that was idle a
+// second ago, so that queues oscillate between engines. Pick therefore minimises
+// the expected time to first token: queue delay plus prefill of the uncached
+// tokens. The queue delay comes from the last report, corrected by the requests
+// that this entry has sent since. Among nearly equal candidates it uses the power
+// of two choices, so that entries do not herd.
 //
-// A decision runs in three steps: filters drop candidates, scorers add up a
-// candidate's expected time, and a picker chooses.
+// A decision has three steps: filters drop candidates, scorers add up the
+// expected time of each candidate, and a picker chooses one.
 package route
 
 import (
@@ -19,10 +19,10 @@
 	"time"
 )
 
-// PieceTokens is the size of a KV cache piece in tokens.
+// KVBlockTokens is the size of a KV cache block in tokens.
 const KVBlockTokens = 2_000
 
-// Role says which work a candidate is asked for.
+// Role is the kind of work that a candidate does or a request needs.
 type Role string
 
 // The roles. A candidate of role Mixed serves requests of any role.
@@ -32,47 +32,51 @@
 	Decode  Role = "decode"
 )
 
-// Request is what routing needs to know of a request.
+// Request has the properties of a request that routing depends on.
 type Request struct {
 	Service string
 	// Model and Adapter are empty for a plain service.
 	Model, Adapter string
 	PromptTokens   int
 	OutputTokens   int
-	// Pieces is the hash chain of the prompt's whole pieces, from Pieces.
+	// PrefixBlocks is the hash chain of the prompt, from the function
+	// PrefixBlocks.
 	PrefixBlocks []uint64
 	DataCentre   string
-	// Role is the work asked for; empty for a plain service.
+	// Role is the work requested; empty for a plain service.
 	Role Role
-	// Excluded names are not tried again.
+	// Excluded has the backend servers that the request must not be sent to, for
+	// example those of earlier attempts.
 	Excluded []string
 }
 
-// Candidate is one backend server as the entry sees it.
+// Candidate is a backend server in its state as last known to the entry.
 type Candidate struct {
 	Name       string
 	DataCentre string
 	Service    string
 	Model      string
-	// Adapters that are loaded.
+	// Adapters are the loaded adapters.
 	Adapters []string
 	Role     Role
-	// Admitting is false while the backend server drains, changes or is full.
+	// Admitting is false while the backend server is draining, applying a change of
+	// its role or weights, or full.
 	Admitting bool
-	// Leaving: on its way out of the VM list.
+	// Leaving is set while the backend server is being removed from the VM list.
 	Leaving bool
-	// SpillPrompt is the longest prompt, in tokens, that this decode engine
-	// prefills; 0 means none.
+	// MaxSpilloverPrompt is the longest prompt, in uncached tokens, that this decode
+	// engine prefills; 0 means that it prefills none.
 	MaxSpilloverPrompt int
-	// Load is the corrected load, from a Picture.
+	// Load is the corrected load, from a LoadTracker.
 	Load Load
-	// CachedPieces counts the request's leading pieces that are likely cached.
+	// CachedBlocks is the number of leading blocks of the request that are likely
+	// cached.
 	CachedBlocks int
-	// Weight is from the outlier detector; 0 means 1.
+	// Weight is set by outlier detection, at most 1; 0 means 1.
 	Weight float64
 }
 
-// Load is what a backend server reports of itself, or that report corrected.
+// Load is the load that a backend server reports, or a corrected report.
 type Load struct {
 	QueuedTokens  int
 	RunningTokens int
@@ -80,26 +84,29 @@
 	Queued        int
 	Slots         int
 	FreeKVBlocks  int `json:"FreePieces"`
-	// PrefillRate and DecodeRate are tokens a second when busy with nothing else.
+	// PrefillRate and DecodeRate are in tokens per second while the server does
+	// no other work.
 	PrefillRate, DecodeRate float64
 }
 
 // Decision is the outcome of a pick.
 type Decision struct {
 	Name string
-	// Expected is the time to the first token, or to the answer's begin.
+	// ExpectedTTFT is the expected time to first token, or to the start of the answer
+	// for a plain service.
 	ExpectedTTFT time.Duration
-	// Wait is the part of Expected spent in the queue.
+	// QueueDelay is the part of ExpectedTTFT that is spent in the queue.
 	QueueDelay time.Duration
-	Reason     string
+	// Reason explains the decision to operators.
+	Reason string
 }
 
-// Filter drops candidates that cannot take a request.
+// Filter decides which candidates are eligible for a request.
 type Filter interface {
 	Keep(r Request, c Candidate) bool
 }
 
-// Scorer adds to a candidate's expected time.
+// Scorer returns one component of a candidate's expected time to first token.
 type Scorer interface {
 	Score(r Request, c Candidate) time.Duration
 }
@@ -109,7 +116,7 @@
 	Pick(rng *rand.Rand, scored []Scored) Scored
 }
 
-// Scored is a candidate with its expected time.
+// Scored is a candidate with its expected time to first token.
 type Scored struct {
 	Candidate
 	ExpectedTTFT time.Duration
@@ -126,33 +133,34 @@
 func DefaultProfile() Profile {
 	return Profile{
 		Filters: []Filter{ServesFilter{}, AdmittingFilter{}, ExcludedFilter{}},
-		Scorers: []Scorer{WaitScorer{}, PrefillScorer{}, DistanceScorer{}, WeightScorer{}},
-		Picker:  TwoChoices{},
+		Scorers: []Scorer{QueueDelayScorer{}, PrefillScorer{}, DistanceScorer{}, WeightScorer{}},
+		Picker:  PowerOfTwoChoices{},
 	}
 }
 
 var defaultProfile = DefaultProfile()
 
-// Pick returns the backend server for r, or false if none can take it.
+// Pick returns the backend server for r according to the default profile, or
+// false if none is eligible.
 func Pick(rng *rand.Rand, r Request, candidates []Candidate) (Decision, bool) {
 	return defaultProfile.Pick(rng, r, candidates)
 }
 
-// Pick returns the backend server for r, or false if none can take it.
+// Pick returns the backend server for r, or false if none is eligible.
 func (p Profile) Pick(rng *rand.Rand, r Request, candidates []Candidate) (Decision, bool) {
 	var scored []Scored
 	for _, c := range candidates {
-		if p.keeps(r, c) {
-			scored = append(scored, Scored{Candidate: c, ExpectedTTFT: p.score(r, c)})
+		if p.eligible(r, c) {
+			scored = append(scored, Scored{Candidate: c, ExpectedTTFT: p.expectedTTFT(r, c)})
 		}
 	}
 	if len(scored) == 0 {
 		return Decision{}, false
 	}
-	return decision(r, p.Picker.Pick(rng, scored), len(scored)), true
+	return newDecision(r, p.Picker.Pick(rng, scored), len(scored)), true
 }
 
-func (p Profile) keeps(r Request, c Candidate) bool {
+func (p Profile) eligible(r Request, c Candidate) bool {
 	for _, f := range p.Filters {
 		if !f.Keep(r, c) {
 			return false
@@ -161,7 +169,7 @@
 	return true
 }
 
-func (p Profile) score(r Request, c Candidate) time.Duration {
+func (p Profile) expectedTTFT(r Request, c Candidate) time.Duration {
 	var expected time.Duration
 	for _, s := range p.Scorers {
 		expected += s.Score(r, c)
--- a/internal/decide/route/score_distance.go
+++ b/internal/decide/route/score_distance.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// farPenalty is the cost of another data centre: a few round trips, and KV
-// cache that crosses the network between them.
-const farPenalty = 20 * time.Millisecond
+// crossDataCentrePenalty is the cost of using another data centre: a few round
+// trips, and KV transfer over the network between the data centres.
+const crossDataCentrePenalty = 20 * time.Millisecond
 
-// DistanceScorer prefers the request's own data centre. It decides between
-// near-equals only: half a millisecond of distance outweighs no queue.
+// DistanceScorer prefers the data centre of the request. It only decides between
+// candidates of nearly equal cost: the network latency between data centres, half
+// a millisecond, does not justify queueing.
 type DistanceScorer struct{}
 
 // Score implements Scorer.
@@ -15,5 +16,5 @@
 	if r.DataCentre == "" || r.DataCentre == c.DataCentre {
 		return 0
 	}
-	return farPenalty
+	return crossDataCentrePenalty
 }
--- a/internal/decide/route/score_prefill.go
+++ b/internal/decide/route/score_prefill.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// PrefillScorer is the time to prefill what is not cached.
+// PrefillScorer scores the time to prefill the uncached prompt tokens.
 type PrefillScorer struct{}
 
 // Score implements Scorer.
@@ -10,10 +10,11 @@
 	if r.Role == Decode {
 		return 0
 	}
-	return seconds(float64(uncached(r, c)), prefillRate(c.Load))
+	return durationAt(float64(uncached(r, c)), prefillRate(c.Load))
 }
 
-// uncached leaves at least one token: the last one is always computed.
+// uncached returns the number of prompt tokens to prefill. It is at least one, as
+// the last token is always computed.
 func uncached(r Request, c Candidate) int {
 	return max(1, r.PromptTokens-KVBlockTokens*c.CachedBlocks)
 }
--- a/internal/decide/route/score_weight.go
+++ b/internal/decide/route/score_weight.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// WeightScorer makes a backend server of low weight look slower in proportion:
-// at half the weight, its wait and prefill count twice.
+// WeightScorer scales the queue delay and prefill time of a backend server by
+// the inverse of its weight: at half the weight, they count twice.
 type WeightScorer struct{}
 
 // Score implements Scorer.
@@ -12,12 +12,13 @@
 	if w >= 1 {
 		return 0
 	}
-	base := WaitScorer{}.Score(r, c) + PrefillScorer{}.Score(r, c) + weightFloor
+	base := QueueDelayScorer{}.Score(r, c) + PrefillScorer{}.Score(r, c) + minWeightBase
 	return time.Duration(float64(base) * (1/w - 1))
 }
 
-// weightFloor lets the weight count also at an empty queue.
-const weightFloor = 50 * time.Millisecond
+// minWeightBase is added to the time that is scaled, so that the weight also
+// has an effect while the queue is empty.
+const minWeightBase = 50 * time.Millisecond
 
 func weight(c Candidate) float64 {
 	if c.Weight <= 0 || c.Weight > 1 {
--- a/internal/decide/shift/meter.go
+++ b/internal/decide/shift/demand_meter.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// DefaultMeterWindow is the time constant of a Meter. Below a few seconds the
-// planner would see single long prompts as swings; much above, it would learn
-// of a swing when it is half over.
+// DefaultMeterWindow is the time constant of a DemandMeter. With less than a few
+// seconds, a single long prompt would look like a swing of the demand. With much
+// more, a swing would be half over when the planner sees it.
 const DefaultMeterWindow = 5 * time.Second
 
-// Meter turns requests into smoothed rates: the demand that one entry sees. The
-// planner adds up what the entries report.
+// DemandMeter measures the demand at one entry as exponentially smoothed rates. The
+// planner sums the demand of all entries.
 type DemandMeter struct {
-	window                 time.Duration
-	at                     time.Time
-	prefill, short, decode float64
+	window                        time.Duration
+	updatedAt                     time.Time
+	prefill, shortPrefill, decode float64
 }
 
-// NewMeter returns a Meter; a window of 0 means DefaultMeterWindow.
+// NewDemandMeter returns a DemandMeter; a window of 0 means DefaultMeterWindow.
 func NewDemandMeter(window time.Duration) *DemandMeter {
 	if window <= 0 {
 		window = DefaultMeterWindow
@@ -26,28 +26,28 @@
 	return &DemandMeter{window: window}
 }
 
-// Add takes in one request offered, admitted or not.
+// Add records a request, whether it was admitted or rejected.
 func (m *DemandMeter) Add(now time.Time, uncachedTokens, outputTokens int) {
 	m.decay(now)
 	m.prefill += float64(uncachedTokens)
 	m.decode += float64(outputTokens)
 	if uncachedTokens <= DefaultMaxSpilloverPrompt {
-		m.short += float64(uncachedTokens)
+		m.shortPrefill += float64(uncachedTokens)
 	}
 }
 
-// Demand returns the rates now, without backlogs.
+// Demand returns the current rates, without backlogs.
 func (m *DemandMeter) Demand(now time.Time) Demand {
 	m.decay(now)
 	seconds := m.window.Seconds()
 	return Demand{
 		PrefillTokens:      m.prefill / seconds,
-		ShortPrefillTokens: m.short / seconds,
+		ShortPrefillTokens: m.shortPrefill / seconds,
 		DecodeTokens:       m.decode / seconds,
 	}
 }
 
-// Plus returns the demand of both.
+// Plus returns the sum of d and o.
 func (d Demand) Plus(o Demand) Demand {
 	return Demand{
 		PrefillTokens:      d.PrefillTokens + o.PrefillTokens,
@@ -59,14 +59,14 @@
 }
 
 func (m *DemandMeter) decay(now time.Time) {
-	dt := now.Sub(m.at)
-	if m.at.IsZero() || dt < 0 {
-		m.at = now
+	elapsed := now.Sub(m.updatedAt)
+	if m.updatedAt.IsZero() || elapsed < 0 {
+		m.updatedAt = now
 		return
 	}
-	m.at = now
-	keep := math.Exp(-dt.Seconds() / m.window.Seconds())
-	m.prefill *= keep
-	m.short *= keep
-	m.decode *= keep
+	m.updatedAt = now
+	factor := math.Exp(-elapsed.Seconds() / m.window.Seconds())
+	m.prefill *= factor
+	m.shortPrefill *= factor
+	m.decode *= factor
 }
--- a/internal/decide/shift/goodput.go
+++ b/internal/decide/shift/goodput.go
@@ -2,85 +2,90 @@
 
 import "fmt"
 
-// need is the demand in engines: how many would be busy all the time.
-type need struct {
-	prefill, short, decode float64
+// enginesNeeded is the demand expressed as the number of engines that it would
+// keep fully busy, including headroom.
+type enginesNeeded struct {
+	prefill, shortPrefill, decode float64
 }
 
-func (p *Planner) needOf(f Fleet) need {
+func (p *Planner) enginesNeeded(f Fleet) enginesNeeded {
 	if f.Capacity.PrefillTokens <= 0 || f.Capacity.DecodeTokens <= 0 {
-		return need{}
+		return enginesNeeded{}
 	}
-	return need{
-		prefill: f.Demand.PrefillTokens * (1 + p.cfg.PrefillHeadroom) / f.Capacity.PrefillTokens,
-		short:   f.Demand.ShortPrefillTokens * (1 + p.cfg.PrefillHeadroom) / f.Capacity.PrefillTokens,
-		decode:  f.Demand.DecodeTokens * (1 + p.cfg.DecodeHeadroom) / f.Capacity.DecodeTokens,
+	return enginesNeeded{
+		prefill:      f.Demand.PrefillTokens * (1 + p.cfg.PrefillHeadroom) / f.Capacity.PrefillTokens,
+		shortPrefill: f.Demand.ShortPrefillTokens * (1 + p.cfg.PrefillHeadroom) / f.Capacity.PrefillTokens,
+		decode:       f.Demand.DecodeTokens * (1 + p.cfg.DecodeHeadroom) / f.Capacity.DecodeTokens,
 	}
 }
 
-// served is the share of the demand that finishes: a request needs both its
-// prefill and its decode, so the scarcer one decides.
-func (p *Planner) served(c counts, n need) float64 {
+// servedFraction returns the fraction of the demand that can be completed. A
+// request needs both prefill and decode, so the scarcer one limits it.
+func (p *Planner) servedFraction(c roleCounts, n enginesNeeded) float64 {
 	prefill, decode := float64(c.prefill), float64(c.decode)
-	decode, prefill = p.useMixed(float64(c.mixed), decode, prefill, n)
-	spill := p.spilled(decode, prefill, n)
-	return min(1, part(prefill, n.prefill-spill), part(decode-spill, n.decode))
+	decode, prefill = p.allocateMixed(float64(c.mixed), decode, prefill, n)
+	spillover := p.spilloverWork(decode, prefill, n)
+	return min(1, ratio(prefill, n.prefill-spillover), ratio(decode-spillover, n.decode))
 }
 
-// useMixed gives the mixed engines' time to the two kinds of work in
-// proportion to what each lacks.
-func (p *Planner) useMixed(mixed, decode, prefill float64, n need) (float64, float64) {
-	lackPrefill := max(0, n.prefill-prefill)
-	lackDecode := max(0, n.decode-decode)
-	if lackPrefill+lackDecode == 0 {
+// allocateMixed divides the time of mixed engines between decode and prefill in
+// proportion to the shortage of each, and returns the resulting capacities.
+func (p *Planner) allocateMixed(mixed, decode, prefill float64, n enginesNeeded) (float64, float64) {
+	prefillShortage := max(0, n.prefill-prefill)
+	decodeShortage := max(0, n.decode-decode)
+	if prefillShortage+decodeShortage == 0 {
 		return decode + mixed/2, prefill + mixed/2
 	}
-	toPrefill := mixed * lackPrefill / (lackPrefill + lackDecode)
+	toPrefill := mixed * prefillShortage / (prefillShortage + decodeShortage)
 	return decode + mixed - toPrefill, prefill + toPrefill
 }
 
-// spilled is the prefill work, in engines, that decode engines take: what the
-// prefill engines lack, the decode engines can spare and the prompts allow.
-func (p *Planner) spilled(decode, prefill float64, n need) float64 {
-	lack := max(0, n.prefill-prefill)
+// spilloverWork returns the prefill work, in engines, that decode engines take
+// over. It is limited by the shortage of prefill engines, the spare capacity of
+// decode engines, their MaxSpilloverShare and the amount of short prompts.
+func (p *Planner) spilloverWork(decode, prefill float64, n enginesNeeded) float64 {
+	shortage := max(0, n.prefill-prefill)
 	spare := max(0, decode-n.decode)
-	return min(lack, spare, n.short, decode*p.cfg.SpillShare)
+	return min(shortage, spare, n.shortPrefill, decode*p.cfg.MaxSpilloverShare)
 }
 
-func part(have, want float64) float64 {
-	if want <= 0 {
+func ratio(capacity, demand float64) float64 {
+	if demand <= 0 {
 		return 1
 	}
-	return max(0, have) / want
+	return max(0, capacity) / demand
 }
 
-// move is a number of engines to change to a role, and the goodput, in engines,
-// that they would bring; it is negative where the present roles do better.
+// move is a number of engines to change to a role and the goodput, in engines,
+// that this would gain. The gain is negative if the current roles do better.
 type move struct {
 	engines int
 	gain    float64
 }
 
-// perEngine is the gain for each engine moved. Sums of it can be compared
-// between moves of different sizes, and with the price of one change.
+// perEngine returns the gain per engine moved. Its sum over time is comparable
+// between moves of different sizes, and with the cost of one change.
 func (m move) perEngine() float64 { return m.gain / float64(max(1, m.engines)) }
 
-// enough is the part of the greatest gain that the smallest move has to bring:
-// the last engine of a move costs as much as the first and often brings little.
-const enough = 0.6
+// minGainFraction is the fraction of the largest possible gain that a move must
+// reach. The last engine of a larger move costs as much as the first and often
+// gains little.
+const minGainFraction = 0.6
 
-// best returns the smallest move to the role that brings nearly as much as any.
-func (p *Planner) best(c counts, n need, to Role) move {
+// bestMove returns the smallest move to the role that reaches minGainFraction of
+// the largest gain. If none gains anything, it returns the gain of moving one
+// engine, with no engines.
+func (p *Planner) bestMove(c roleCounts, n enginesNeeded, to Role) move {
 	var moves []move
-	most := 0.0
-	now := p.served(c, n)
-	for k := 1; k <= c.of(opposite(to))-p.cfg.LeastPerRole; k++ {
-		gain := (p.served(c.moved(to, k), n) - now) * (n.prefill + n.decode)
+	largest := 0.0
+	current := p.servedFraction(c, n)
+	for k := 1; k <= c.of(opposite(to))-p.cfg.MinPerRole; k++ {
+		gain := (p.servedFraction(c.afterMove(to, k), n) - current) * (n.prefill + n.decode)
 		moves = append(moves, move{engines: k, gain: gain})
-		most = max(most, gain)
+		largest = max(largest, gain)
 	}
 	for _, m := range moves {
-		if most > 0 && m.gain >= enough*most {
+		if largest > 0 && m.gain >= minGainFraction*largest {
 			return m
 		}
 	}
@@ -90,16 +95,16 @@
 	return move{gain: moves[0].gain}
 }
 
-func (p *Planner) spill(c counts, f Fleet) Spillover {
-	n := p.needOf(f)
-	decode, prefill := p.useMixed(float64(c.mixed), float64(c.decode), float64(c.prefill), n)
-	taken := p.spilled(decode, prefill, n)
-	if taken <= 0 {
+func (p *Planner) spillover(c roleCounts, f Fleet) Spillover {
+	n := p.enginesNeeded(f)
+	decode, prefill := p.allocateMixed(float64(c.mixed), float64(c.decode), float64(c.prefill), n)
+	work := p.spilloverWork(decode, prefill, n)
+	if work <= 0 {
 		return Spillover{}
 	}
-	return Spillover{MaxPromptTokens: p.cfg.SpillPrompt, MaxTimeShare: p.cfg.SpillShare, MaxInterTokenLatency: p.cfg.TokenGap}
+	return Spillover{MaxPromptTokens: p.cfg.MaxSpilloverPrompt, MaxTimeShare: p.cfg.MaxSpilloverShare, MaxInterTokenLatency: p.cfg.MaxInterTokenLatency}
 }
 
-func why(to Role, loss, price float64) string {
-	return fmt.Sprintf("%.1f engine-seconds of goodput lost for want of %s, a change costs %.1f", loss, to, price)
+func reason(to Role, loss, cost float64) string {
+	return fmt.Sprintf("%.1f engine-seconds of goodput lost for want of %s, a change costs %.1f", loss, to, cost)
 }
--- a/internal/decide/shift/shift.go
+++ b/internal/decide/shift/shift.go
@@ -1,21 +1,20 @@
-// Package shift decides which engine changes its role, and when. It is the
-// planner's decision.
+// Package shift decides which engines change their role, and when, on behalf of
+// the planner.
 //
-// It answers a prompt-to-output mix that swings within minutes and back. With
-// fixed roles one side is short while the other idles, which one notices by
-// goodput at half of what the same engines reach for another mix. A planner
-// that follows each swing loses more: a change takes an engine away for
-// seconds, the swing is over before the change has paid, and it is undone at
-// the same price.
+// The ratio of prefill to decode work can swing within minutes and back. With
+// fixed roles, one kind of engine is overloaded while the other is idle, and
+// goodput drops to half of what the same engines reach for another ratio.
+// Following each swing is worse: a role change makes an engine unavailable for
+// seconds, and the swing may be over before the change has paid off and must be
+// undone at the same cost.
 //
-// So the cheap lever comes first: decode engines take short prefills, which
-// costs no change. What it does not cover is treated as ski rental. The goodput
-// lost to the imbalance adds up, and one engine changes once the sum exceeds
-// the cost of its change times a factor that says how operators weigh
-// changes; the sum shrinks again while the present roles do better. Against a
-// planner that knows the future, the loss is then bounded by a small multiple
-// of that planner's, whatever the swings. A dwell time and a bound on changes
-// in flight keep a wrong picture from taking a role away.
+// So decode engines first take over short prefills, which needs no role change.
+// The remaining imbalance is treated as a ski rental problem. The goodput lost to
+// it is summed up, and engines change once the sum per engine exceeds the cost of
+// a change times a factor set by operators; the sum shrinks while the current
+// roles do better. For any demand, the loss is then at most a small multiple of
+// that of a planner that knows the future. A dwell time and a limit on
+// concurrent changes prevent wrong load data from depriving a role of its engines.
 package shift
 
 import (
@@ -24,7 +23,7 @@
 	"time"
 )
 
-// Role says which work an engine takes.
+// Role is the kind of work that an engine does.
 type Role string
 
 // The roles.
@@ -35,96 +34,99 @@
 )
 
 const (
-	// DefaultChangeTime is how long a role change takes an engine away.
+	// DefaultChangeTime is how long a role change makes an engine unavailable.
 	DefaultChangeTime = 8 * time.Second
 	// DefaultRoleChangeCost is the factor on the goodput lost by a change.
-	// 1 is the rule of ski rental: having lost as much as it costs.
+	// 1 is the rule of ski rental: change once the loss equals the cost.
 	DefaultRoleChangeCost = 1.0
-	// DefaultDwell is how long an engine keeps a role at least. It bounds what
-	// a wrong picture can do; in the load player 45 s changes nothing.
-	DefaultDwell = 30 * time.Second
-	// DefaultMaxInFlight bounds the changes at any time: a quarter of a dozen
-	// engines. One at a time, a mix that moves by three engines is followed
-	// only after a minute and a half, when it may be about to turn.
+	// DefaultMinDwell is the minimum time between two role changes of an engine.
+	// It limits the effect of wrong load data. 45 s made no difference in
+	// simulations.
+	DefaultMinDwell = 30 * time.Second
+	// DefaultMaxInFlight limits concurrent changes: a quarter of twelve engines.
+	// With one at a time, following a shift of three engines takes a minute and a
+	// half, when the demand may be about to shift back.
 	DefaultMaxInFlight = 3
-	// DefaultPrefillHeadroom and DefaultDecodeHeadroom are by how much the
-	// capacity of a role is wanted larger than its demand. Want of prefill is
-	// seen at admission and costs refusals; want of decode comes to light
-	// after the prefill, as answers that are late and work that is lost, and
-	// a batch that is not full does less than its rate. So decode gets more.
+	// DefaultPrefillHeadroom and DefaultDecodeHeadroom are the spare capacity of
+	// a role relative to its demand. Decode gets more: a prefill shortage is
+	// detected at admission and costs rejections, but a decode shortage shows only
+	// after the prefill, as late answers and wasted work. Also, a batch that is
+	// not full decodes below the nominal rate.
 	DefaultPrefillHeadroom = 0.1
 	DefaultDecodeHeadroom  = 0.3
-	// DefaultSpillPrompt is the longest prompt, in uncached tokens, that a
-	// decode engine prefills: at a share of a half it is done in two seconds.
+	// DefaultMaxSpilloverPrompt is the longest prompt, in uncached tokens, that a decode
+	// engine prefills. With half of the engine's time it takes two seconds.
 	DefaultMaxSpilloverPrompt = 8_000
-	// DefaultSpillShare is the most of its time that a decode engine spends
-	// on such prefills. A small batch leaves that much: see Spill.ShareFor.
+	// DefaultMaxSpilloverShare limits the fraction of its time that a decode engine
+	// spends on such prefills. Small batches leave that much time; for larger ones
+	// see Spillover.TimeShareFor.
 	DefaultMaxSpilloverShare = 0.6
-	// DefaultTokenGap is the time between tokens that prefills may stretch
-	// the streams of a decode engine to: the 31 ms of the service level.
+	// DefaultMaxInterTokenLatency is the inter-token latency that prefills may cause on a
+	// decode engine: the service level objective of 31 ms.
 	DefaultMaxInterTokenLatency = 31 * time.Millisecond
-	// maxStep bounds the time that one step accounts for: after a pause or an
-	// outage of the store nothing is known about the time between.
+	// maxStep limits the time that one step accounts for. After a pause or an
+	// outage of the store, the demand in the meantime is unknown.
 	maxStep = 5 * time.Second
 )
 
-// Config sets a Planner. The zero value of a field means its default.
+// Config configures a Planner. A field of zero means its default.
 type Config struct {
-	// RoleChangeCost scales the cost of a change: low where goodput weighs
-	// more, high where changes weigh more.
+	// RoleChangeCost scales the cost of a change: low values favour goodput, high
+	// values favour fewer changes.
 	RoleChangeCost float64
 	ChangeTime     time.Duration
-	Dwell          time.Duration
+	MinDwell       time.Duration
 	MaxInFlight    int
-	// PrefillHeadroom and DecodeHeadroom are shares of the demand.
+	// PrefillHeadroom and DecodeHeadroom are fractions of the demand.
 	PrefillHeadroom, DecodeHeadroom float64
-	// LeastPerRole engines stay in each role.
-	LeastPerRole int
-	SpillPrompt  int
-	SpillShare   float64
-	TokenGap     time.Duration
+	// MinPerRole is the minimum number of engines in each role; the default is 1.
+	MinPerRole           int
+	MaxSpilloverPrompt   int
+	MaxSpilloverShare    float64
+	MaxInterTokenLatency time.Duration
 }
 
-// Engine is one engine as the planner sees it. Mixed engines count as capacity
-// for both kinds of work and are never changed.
+// Engine is the state of one engine. Mixed engines count as capacity for both
+// kinds of work and never change their role.
 type Engine struct {
 	Name string
 	Role Role
-	// Movable engines may change: up, not drained and not held by an exception
-	// of the operators.
+	// Movable engines may change their role: they are up and neither drained
+	// nor held by an operator's exception.
 	Movable bool
-	// Changing engines are on their way to Role.
+	// Changing engines are in transition to Role.
 	Changing bool
-	// Since is when the role was last set.
+	// RoleSince is when the role was last set.
 	RoleSince time.Time
-	// QueuedTokens breaks ties: the idlest engine changes.
+	// QueuedTokens orders the candidates: the least loaded engine changes first.
 	QueuedTokens int
-	// Speed is the engine's measured rate over that of its peers; 0 means 1.
+	// Speed is the engine's measured rate relative to its peers; 0 means 1.
 	Speed float64
 }
 
-// Demand is the work offered to one model, also what was refused for lack of
-// room, as rates.
+// Demand is the work requested of one model, as rates. It includes requests that
+// were rejected for lack of capacity.
 type Demand struct {
-	// PrefillTokens a second are uncached prompt tokens; ShortPrefillTokens of
-	// them belong to prompts short enough to spill.
+	// PrefillTokens is the rate of uncached prompt tokens per second.
+	// ShortPrefillTokens of them belong to prompts that decode engines may take.
 	PrefillTokens      float64
 	ShortPrefillTokens float64
-	// DecodeTokens a second are output tokens.
+	// DecodeTokens is the rate of output tokens per second.
 	DecodeTokens float64
-	// PrefillBacklog and DecodeBacklog are tokens that wait now, for the state
-	// dump. They do not enter the decision: what waits was offered before and
-	// is in the rates, and counting it twice made roles swing.
+	// PrefillBacklog and DecodeBacklog are queued tokens, for the state dump. The
+	// decision ignores them: queued work is already included in the rates, and
+	// counting it twice made roles oscillate.
 	PrefillBacklog, DecodeBacklog float64
 }
 
-// Capacity is what one engine does in a second when it does nothing else.
+// Capacity is the rate of one engine for each kind of work, in tokens per second,
+// while it does nothing else.
 type Capacity struct {
 	PrefillTokens float64
 	DecodeTokens  float64
 }
 
-// Fleet is the input of one step: the engines of one model.
+// Fleet is the input of one step: the engines, demand and capacity of one model.
 type Fleet struct {
 	Engines  []Engine
 	Demand   Demand
@@ -138,19 +140,19 @@
 	Reason   string
 }
 
-// Spill tells decode engines to take prefills.
+// Spillover limits the prefills that decode engines take over from prefill engines.
 type Spillover struct {
 	// MaxPromptTokens is the longest such prompt; 0 means none.
 	MaxPromptTokens int
-	// Share of its time is the most that a decode engine spends on them.
+	// MaxTimeShare limits the fraction of its time that a decode engine spends on them.
 	MaxTimeShare float64
-	// TokenGap is the time between tokens that they may stretch streams to.
+	// MaxInterTokenLatency is the inter-token latency that they may cause.
 	MaxInterTokenLatency time.Duration
 }
 
-// ShareFor returns the share of its time that a decode engine may spend on
-// prefills while one step of its batch takes the given time. Without it, a
-// full batch would be stretched past the service level.
+// TimeShareFor returns the fraction of its time that a decode engine may spend on
+// prefills while one step of its batch takes the given time. Without it, a full
+// batch would exceed the inter-token latency objective.
 func (s Spillover) TimeShareFor(step time.Duration) float64 {
 	if s.MaxInterTokenLatency <= 0 {
 		return s.MaxTimeShare
@@ -164,40 +166,41 @@
 	Spillover Spillover
 }
 
-// Planner holds the loss summed up for each direction, in engine-seconds of
-// goodput for each engine that would move. Its methods are for one
-// goroutine.
+// Planner decides on role changes. It accumulates the loss for each target role,
+// in engine-seconds of goodput per engine that would move. It is not safe for
+// concurrent use.
 type Planner struct {
-	cfg  Config
-	at   time.Time
-	loss map[Role]float64
+	cfg      Config
+	lastStep time.Time
+	loss     map[Role]float64
 }
 
 // New returns a Planner.
 func New(cfg Config) *Planner {
 	cfg.RoleChangeCost = cmp.Or(cfg.RoleChangeCost, DefaultRoleChangeCost)
 	cfg.ChangeTime = cmp.Or(cfg.ChangeTime, DefaultChangeTime)
-	cfg.Dwell = cmp.Or(cfg.Dwell, DefaultDwell)
+	cfg.MinDwell = cmp.Or(cfg.MinDwell, DefaultMinDwell)
 	cfg.MaxInFlight = cmp.Or(cfg.MaxInFlight, DefaultMaxInFlight)
 	cfg.PrefillHeadroom = cmp.Or(cfg.PrefillHeadroom, DefaultPrefillHeadroom)
 	cfg.DecodeHeadroom = cmp.Or(cfg.DecodeHeadroom, DefaultDecodeHeadroom)
-	cfg.LeastPerRole = cmp.Or(cfg.LeastPerRole, 1)
-	cfg.SpillPrompt = cmp.Or(cfg.SpillPrompt, DefaultMaxSpilloverPrompt)
-	cfg.SpillShare = cmp.Or(cfg.SpillShare, DefaultMaxSpilloverShare)
-	cfg.TokenGap = cmp.Or(cfg.TokenGap, DefaultMaxInterTokenLatency)
+	cfg.MinPerRole = cmp.Or(cfg.MinPerRole, 1)
+	cfg.MaxSpilloverPrompt = cmp.Or(cfg.MaxSpilloverPrompt, DefaultMaxSpilloverPrompt)
+	cfg.MaxSpilloverShare = cmp.Or(cfg.MaxSpilloverShare, DefaultMaxSpilloverShare)
+	cfg.MaxInterTokenLatency = cmp.Or(cfg.MaxInterTokenLatency, DefaultMaxInterTokenLatency)
 	return &Planner{cfg: cfg, loss: make(map[Role]float64)}
 }
 
-// Step takes in the fleet as it is now and returns what to change. Without
-// fresh reports the caller does not step: a frozen plan sums up no loss.
+// Step accounts for the time since the last step and returns the changes to make.
+// It must not be called without recent load reports, so that no loss accumulates
+// on stale data.
 func (p *Planner) Step(now time.Time, f Fleet) Decision {
-	dt := p.elapsed(now)
-	c := count(f.Engines)
-	d := Decision{Spillover: p.spill(c, f)}
-	n := p.needOf(f)
+	elapsed := p.elapsed(now)
+	c := countRoles(f.Engines)
+	d := Decision{Spillover: p.spillover(c, f)}
+	n := p.enginesNeeded(f)
 	for _, to := range []Role{Prefill, Decode} {
-		m := p.best(c, n, to)
-		p.loss[to] = max(0, p.loss[to]+m.perEngine()*dt.Seconds())
+		m := p.bestMove(c, n, to)
+		p.loss[to] = max(0, p.loss[to]+m.perEngine()*elapsed.Seconds())
 		if d.Changes = p.changes(now, c, f, to, m); len(d.Changes) > 0 {
 			clear(p.loss)
 			break
@@ -206,26 +209,27 @@
 	return d
 }
 
-// Loss returns the engine-seconds of goodput summed up for a change to the
-// role, for the state dump.
+// Loss returns the accumulated loss, in engine-seconds of goodput, for changes to
+// the role. It is for the state dump.
 func (p *Planner) Loss(to Role) float64 { return p.loss[to] }
 
 func (p *Planner) elapsed(now time.Time) time.Duration {
-	dt := now.Sub(p.at)
-	if p.at.IsZero() || dt < 0 {
-		dt = 0
+	elapsed := now.Sub(p.lastStep)
+	if p.lastStep.IsZero() || elapsed < 0 {
+		elapsed = 0
 	}
-	p.at = now
-	return min(dt, maxStep)
+	p.lastStep = now
+	return min(elapsed, maxStep)
 }
 
-// counts are engines per role; those that change count at their new role.
-type counts struct {
+// roleCounts has the number of engines by role. Engines in transition count in
+// their new role, and in changing.
+type roleCounts struct {
 	prefill, decode, mixed, changing int
 }
 
-func count(engines []Engine) counts {
-	var c counts
+func countRoles(engines []Engine) roleCounts {
+	var c roleCounts
 	for _, e := range engines {
 		switch e.Role {
 		case Prefill:
@@ -242,53 +246,53 @@
 	return c
 }
 
-// changes returns the move, or as much of it as may be in flight, once the
-// loss has reached its price.
-func (p *Planner) changes(now time.Time, c counts, f Fleet, to Role, m move) []Change {
-	price := p.cfg.RoleChangeCost * p.cfg.ChangeTime.Seconds()
-	if m.engines == 0 || p.loss[to] < price {
+// changes returns the changes of the move once the accumulated loss has reached
+// the cost, as many as the limits allow.
+func (p *Planner) changes(now time.Time, c roleCounts, f Fleet, to Role, m move) []Change {
+	cost := p.cfg.RoleChangeCost * p.cfg.ChangeTime.Seconds()
+	if m.engines == 0 || p.loss[to] < cost {
 		return nil
 	}
 	from := opposite(to)
-	ready := p.candidates(now, f.Engines, from)
-	room := min(m.engines, p.cfg.MaxInFlight-c.changing, c.of(from)-p.cfg.LeastPerRole, len(ready))
+	eligible := p.candidates(now, f.Engines, from)
+	limit := min(m.engines, p.cfg.MaxInFlight-c.changing, c.of(from)-p.cfg.MinPerRole, len(eligible))
 	var changes []Change
-	for _, e := range ready[:max(0, room)] {
-		changes = append(changes, Change{Name: e.Name, From: from, To: to, Reason: why(to, p.loss[to], price)})
+	for _, e := range eligible[:max(0, limit)] {
+		changes = append(changes, Change{Name: e.Name, From: from, To: to, Reason: reason(to, p.loss[to], cost)})
 	}
 	return changes
 }
 
-// candidates returns the engines of the role that may change, idlest first and
-// slow ones last. A slow engine is idle because routing spares it; moved for
-// that, it would look new to its next peers, take a whole batch of streams and
-// make all of them late.
+// candidates returns the engines of the role that may change, least loaded first
+// and slow ones last. A slow engine is idle because routing avoids it. After a
+// change of role it would have no history of being slow, get a full batch of
+// streams and delay all of them.
 func (p *Planner) candidates(now time.Time, engines []Engine, from Role) []Engine {
-	var ready []Engine
+	var eligible []Engine
 	for _, e := range engines {
-		if e.Role == from && e.Movable && !e.Changing && now.Sub(e.RoleSince) >= p.cfg.Dwell {
-			ready = append(ready, e)
+		if e.Role == from && e.Movable && !e.Changing && now.Sub(e.RoleSince) >= p.cfg.MinDwell {
+			eligible = append(eligible, e)
 		}
 	}
-	slices.SortFunc(ready, func(a, b Engine) int {
-		return cmp.Or(slowFirst(b, a), cmp.Compare(a.QueuedTokens, b.QueuedTokens), cmp.Compare(a.Name, b.Name))
+	slices.SortFunc(eligible, func(a, b Engine) int {
+		return cmp.Or(compareSlowFirst(b, a), cmp.Compare(a.QueuedTokens, b.QueuedTokens), cmp.Compare(a.Name, b.Name))
 	})
-	return ready
+	return eligible
 }
 
-// slowSpeed is the speed below which an engine counts as slow; engines of one
-// kind differ by less.
-const slowSpeed = 0.7
+// slowEngineSpeed is the speed below which an engine counts as slow. Healthy
+// engines of one hardware type differ by less.
+const slowEngineSpeed = 0.7
 
-// slowFirst orders slow engines before the others.
-func slowFirst(a, b Engine) int {
-	slow := func(e Engine) int {
-		if cmp.Or(e.Speed, 1) < slowSpeed {
+// compareSlowFirst orders slow engines before the others.
+func compareSlowFirst(a, b Engine) int {
+	rank := func(e Engine) int {
+		if cmp.Or(e.Speed, 1) < slowEngineSpeed {
 			return 0
 		}
 		return 1
 	}
-	return cmp.Compare(slow(a), slow(b))
+	return cmp.Compare(rank(a), rank(b))
 }
 
 func opposite(r Role) Role {
@@ -298,14 +302,14 @@
 	return Prefill
 }
 
-func (c counts) of(r Role) int {
+func (c roleCounts) of(r Role) int {
 	if r == Prefill {
 		return c.prefill
 	}
 	return c.decode
 }
 
-func (c counts) moved(to Role, engines int) counts {
+func (c roleCounts) afterMove(to Role, engines int) roleCounts {
 	if to == Decode {
 		engines = -engines
 	}
--- a/internal/decide/shift/shift_test.go
+++ b/internal/decide/shift/shift_test.go
@@ -22,8 +22,8 @@
 
 var capacity = shift.Capacity{PrefillTokens: 10_000, DecodeTokens: 2_000}
 
-// fleet is a small player of its own: it obeys at once and takes the change
-// time to be ready.
+// fleet is a simulated fleet. It applies changes immediately; an engine is then in
+// transition for the change time.
 type fleet struct {
 	engines []shift.Engine
 	readyAt map[string]time.Duration
@@ -42,19 +42,19 @@
 	return f
 }
 
-func (f *fleet) play(p *shift.Planner, from, to time.Duration, demand func(t time.Duration) shift.Demand) {
+func (f *fleet) simulate(p *shift.Planner, from, to time.Duration, demand func(t time.Duration) shift.Demand) {
 	for t := from; t < to; t += time.Second {
 		for i, e := range f.engines {
 			f.engines[i].Changing = e.Changing && t < f.readyAt[e.Name]
 		}
 		d := p.Step(at(t), shift.Fleet{Engines: f.engines, Demand: demand(t), Capacity: capacity})
 		for _, c := range d.Changes {
-			f.obey(c, t)
+			f.apply(c, t)
 		}
 	}
 }
 
-func (f *fleet) obey(c shift.Change, t time.Duration) {
+func (f *fleet) apply(c shift.Change, t time.Duration) {
 	f.changes++
 	for i, e := range f.engines {
 		if e.Name == c.Name {
@@ -74,36 +74,37 @@
 	return n
 }
 
-// engines is a demand in engines.
+// engines returns the demand that keeps the given numbers of engines busy.
 func engines(prefill, decode float64) shift.Demand {
 	return shift.Demand{PrefillTokens: prefill * capacity.PrefillTokens, DecodeTokens: decode * capacity.DecodeTokens}
 }
 
-func always(d shift.Demand) func(time.Duration) shift.Demand {
+func constant(d shift.Demand) func(time.Duration) shift.Demand {
 	return func(time.Duration) shift.Demand { return d }
 }
 
 var _ = Describe("Planner", func() {
-	It("changes nothing while each role has what it needs", func() {
+	It("changes nothing while each role has enough engines", func() {
 		f := newFleet(6, 6)
-		f.play(shift.New(shift.Config{}), 0, 10*time.Minute, always(engines(4.5, 4.5)))
+		f.simulate(shift.New(shift.Config{}), 0, 10*time.Minute, constant(engines(4.5, 4.5)))
 		Expect(f.changes).To(BeZero())
 	})
 
-	// The day's portfolio reads begin and stay. Half of the fleet idles while
-	// drafts are late.
-	It("follows a mix that stays", func() {
+	// Guards against fixed roles: after a lasting shift to prefill, half of the
+	// fleet would be idle while requests are late.
+	It("follows a lasting shift of the demand", func() {
 		f := newFleet(6, 6)
-		f.play(shift.New(shift.Config{}), 0, 5*time.Minute, always(engines(8, 2)))
+		f.simulate(shift.New(shift.Config{}), 0, 5*time.Minute, constant(engines(8, 2)))
 		Expect(f.prefills()).To(BeNumerically(">=", 8))
 		Expect(f.changes).To(BeNumerically("<=", 4))
 	})
 
-	// The mix flickers. Each change takes an engine away for seconds and is
-	// undone at once, so that callers see less done than with fixed roles.
-	It("sits out swings that are shorter than a change pays for", func() {
+	// Guards against following short swings: each change makes an engine
+	// unavailable for seconds and is soon undone, so that goodput is lower than
+	// with fixed roles.
+	It("ignores swings that are too short for a change to pay off", func() {
 		f := newFleet(6, 6)
-		f.play(shift.New(shift.Config{RoleChangeCost: 3}), 0, 10*time.Minute, func(t time.Duration) shift.Demand {
+		f.simulate(shift.New(shift.Config{RoleChangeCost: 3}), 0, 10*time.Minute, func(t time.Duration) shift.Demand {
 			if int(t.Seconds())/5%2 == 0 {
 				return engines(6.5, 4)
 			}
@@ -112,7 +113,7 @@
 		Expect(f.changes).To(BeNumerically("<=", 2))
 	})
 
-	It("changes later where operators put a higher cost on it", func() {
+	It("makes fewer changes if their cost is set higher", func() {
 		swing := func(t time.Duration) shift.Demand {
 			if int(t.Seconds())/20%2 == 0 {
 				return engines(8, 3)
@@ -120,13 +121,13 @@
 			return engines(3, 8)
 		}
 		low, high := newFleet(6, 6), newFleet(6, 6)
-		low.play(shift.New(shift.Config{RoleChangeCost: 1}), 0, 10*time.Minute, swing)
-		high.play(shift.New(shift.Config{RoleChangeCost: 4}), 0, 10*time.Minute, swing)
+		low.simulate(shift.New(shift.Config{RoleChangeCost: 1}), 0, 10*time.Minute, swing)
+		high.simulate(shift.New(shift.Config{RoleChangeCost: 4}), 0, 10*time.Minute, swing)
 		Expect(high.changes).To(BeNumerically("<", low.changes))
 	})
 
-	// A burst of short prompts meets too few prefill engines. Decode engines
-	// with time to spare could take them, at no price.
+	// Guards against needless role changes: decode engines with spare time can
+	// take a burst of short prompts at no cost.
 	It("lets decode engines take short prefills before it changes a role", func() {
 		p := shift.New(shift.Config{})
 		d := engines(4.3, 4)
@@ -137,13 +138,13 @@
 		Expect(out.Spillover.MaxTimeShare).To(And(BeNumerically(">", 0), BeNumerically("<=", shift.DefaultMaxSpilloverShare)))
 	})
 
-	// Reports go wrong and say that nobody decodes. With the last decode
-	// engine gone, no draft could be finished for as long as a change takes.
-	It("leaves an engine in each role and takes no more away at once than it may", func() {
+	// Guards against wrong reports that show no decode demand: without a decode
+	// engine, no request could complete for the duration of a change.
+	It("leaves an engine in each role and limits concurrent changes", func() {
 		f := newFleet(6, 6)
 		p := shift.New(shift.Config{})
 		for t := time.Duration(0); t < 20*time.Minute; t += time.Second {
-			f.play(p, t, t+time.Second, always(engines(30, 0.01)))
+			f.simulate(p, t, t+time.Second, constant(engines(30, 0.01)))
 			changing := 0
 			for _, e := range f.engines {
 				if e.Changing {
@@ -155,31 +156,32 @@
 		Expect(f.prefills()).To(BeNumerically("<=", 11))
 	})
 
-	// An engine that throttles is idle, because routing spares it. As the
-	// idlest it would be moved first, and make late whatever it gets there.
+	// Guards against moving a throttled engine: it is idle because routing avoids
+	// it. Moved first as the least loaded, it would delay its new requests.
 	It("moves a slow engine last", func() {
 		f := newFleet(6, 6)
 		f.engines[0].Speed = 0.3
 		for i := 1; i < 6; i++ {
 			f.engines[i].QueuedTokens = 10_000
 		}
-		f.play(shift.New(shift.Config{}), 0, 5*time.Minute, always(engines(2, 8)))
+		f.simulate(shift.New(shift.Config{}), 0, 5*time.Minute, constant(engines(2, 8)))
 		Expect(f.changes).To(BeNumerically(">", 0))
 		Expect(f.engines[0].Role).To(Equal(shift.Prefill))
 	})
 
-	It("never touches an engine that operators hold", func() {
+	It("does not change engines that are not movable", func() {
 		f := newFleet(6, 6)
 		for i := range f.engines {
 			f.engines[i].Movable = false
 		}
-		f.play(shift.New(shift.Config{}), 0, 5*time.Minute, always(engines(10, 1)))
+		f.simulate(shift.New(shift.Config{}), 0, 5*time.Minute, constant(engines(10, 1)))
 		Expect(f.changes).To(BeZero())
 	})
 
-	// The store was out for ten minutes and the planner did not step. What
-	// happened meanwhile is not known and must not count as ten minutes' loss.
-	It("sums up nothing for a time that it did not see", func() {
+	// Guards against counting unobserved time: after an outage of the store of ten
+	// minutes without steps, the demand in between is unknown and must not count
+	// as ten minutes of loss.
+	It("accumulates no loss over a long gap between steps", func() {
 		p := shift.New(shift.Config{})
 		f := shift.Fleet{Engines: newFleet(6, 6).engines, Demand: engines(6.5, 3), Capacity: capacity}
 		p.Step(start, f)
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -1,5 +1,5 @@
-// Package plan holds the plan of a region: what each engine is to be, and which
-// sidecar owns which key slot of a plain service.
+// Package plan defines the plan of a region: the target state of each engine, and
+// the sidecar that owns each key slot of a plain service.
 package plan
 
 import (
@@ -8,14 +8,16 @@
 	"pistachioroad.dev/pistachioroad/internal/engine"
 )
 
-// Plan is the object plan/<region>. Only its conditional update changes it.
+// Plan is the value of the object plan/<region> in the store. It is only changed
+// by conditional updates.
 type Plan struct {
 	Region string `json:"region"`
-	// WriteID is random per write; a writer whose reply was lost looks for it.
+	// WriteID is random for each write. With it, a writer whose reply was lost
+	// can tell whether the write was applied.
 	WriteID string `json:"write_id"`
-	// Floor is at least the highest generation of any row ever removed. New
-	// rows begin above it, so that generations rise even for a backend server
-	// that left and came back.
+	// GenerationFloor is at least the highest generation of any removed row. New rows start
+	// above it, so that generations also rise for a backend server that left and
+	// rejoined.
 	GenerationFloor uint64 `json:"floor,omitempty"`
 	// Engines is keyed by the name of the backend server.
 	Engines map[string]Engine `json:"engines"`
@@ -23,20 +25,20 @@
 	Slots map[string]Slots `json:"slots"`
 }
 
-// Engine is one row: what the engine of a backend server is to be.
+// Engine is a row of the plan: the target state of a backend server's engine.
 type Engine struct {
-	// Generation rises strictly with each change of the row. It is the fencing
-	// token of the order.
+	// Generation increases with each change of the row. It is the fencing token
+	// of the order.
 	Generation uint64      `json:"generation"`
 	Role       engine.Role `json:"role"`
 	Model      string      `json:"model"`
 	Adapters   []string    `json:"adapters,omitempty"`
 	Weights    string      `json:"weights"`
-	// Reason is why the row last changed, for people.
+	// Reason explains the last change of the row to operators.
 	Reason string `json:"reason"`
 }
 
-// Order returns the order that brings an engine to the row.
+// Order returns the order that brings an engine to this target state.
 func (e Engine) Order() engine.Order {
 	return engine.Order{
 		Generation: e.Generation,
@@ -47,17 +49,18 @@
 	}
 }
 
-// Slots is the ownership of the key slots of one plain service.
+// Slots has the owners of the key slots of one plain service.
 type Slots struct {
-	// Owners has one backend server per slot; its length is the slot count,
-	// which never changes.
+	// Owners is indexed by slot and has the backend server that owns it. Its
+	// length, the number of slots, never changes.
 	Owners []string `json:"owners"`
 }
 
-// ObjectName returns the name of the plan object of a region.
+// ObjectName returns the name of a region's plan object in the store.
 func ObjectName(region string) string { return "plan/" + region }
 
-// Clone returns a Plan whose maps can be changed apart from those of p.
+// Clone returns a copy of p whose maps and slot owners can be changed
+// independently.
 func (p Plan) Clone() Plan {
 	c := p
 	c.Engines = maps.Clone(p.Engines)
--- a/internal/planner/duty.go
+++ b/internal/planner/duty.go
@@ -17,26 +17,26 @@
 )
 
 const (
-	// planInterval is how often the holder of the lease plans.
-	planInterval = 500 * time.Millisecond
-	// callTimeout bounds one exchange with the store.
-	callTimeout = 2 * time.Second
+	// planningInterval is how often the lease holder updates the plan.
+	planningInterval = 500 * time.Millisecond
+	// storeTimeout limits the calls to the store for one renewal or one plan.
+	storeTimeout = 2 * time.Second
 )
 
-// Source gives the duty its picture and takes what it wrote.
+// Source provides the input of the duty and distributes the objects that it wrote.
 type Source interface {
-	// Picture returns the present picture. Its Plan is not used: the duty
-	// plans on the object that it writes over.
+	// View returns the current view of the fleet. Its Plan is ignored: the duty
+	// plans on the version of the object that it updates.
 	View() View
-	// Candidate reports whether this entry may hold the lease. Only a few of a
-	// region may, for each candidate reads the lease.
+	// LeaseCandidate reports whether this entry may hold the lease. Only a few entries
+	// of a region may, because each candidate polls the lease.
 	LeaseCandidate() bool
-	// Offer spreads an object that the duty has written.
+	// Offer distributes an object that the duty has read or written.
 	Offer(o sharedstate.Object)
 }
 
-// Duty holds the lease when it can and plans while it does. It is a service of
-// the entry's supervisor.
+// Duty acquires the planner lease and updates the plan while it holds it. It runs
+// under the supervisor of the entry.
 type Duty struct {
 	region string
 	store  sharedstate.Store
@@ -46,11 +46,12 @@
 
 	lease   *lease
 	planner *Planner
-	base    sharedstate.Object
-	state   atomic.Pointer[State]
+	// base is the version of the plan that the next update is conditional on.
+	base  sharedstate.Object
+	state atomic.Pointer[State]
 }
 
-// State is what the duty shows of itself.
+// State is the state of the duty for status pages and dumps.
 type State struct {
 	Holding     bool      `json:"holding"`
 	Holder      string    `json:"holder"`
@@ -60,7 +61,7 @@
 	At          time.Time `json:"at"`
 }
 
-// NewDuty returns the duty of the entry called self.
+// NewDuty returns the duty of the entry named self.
 func NewDuty(self, region string, store sharedstate.Store, source Source, decisions *explain.Log) *Duty {
 	return &Duty{
 		region: region,
@@ -72,17 +73,17 @@
 	}
 }
 
-// Dump returns the duty's State.
+// Dump returns the current State as a *State.
 func (d *Duty) Dump(context.Context) any { return d.state.Load() }
 
-// String names the duty in the supervisor's log.
+// String returns the name of the duty in the supervisor's log.
 func (d *Duty) String() string { return "planner" }
 
-// Serve runs the duty until ctx ends.
+// Serve runs the duty until ctx is cancelled.
 func (d *Duty) Serve(ctx context.Context) error {
-	ticker := time.NewTicker(planInterval)
+	ticker := time.NewTicker(planningInterval)
 	defer ticker.Stop()
-	var leaseAt time.Time
+	var lastRenewal time.Time
 	for {
 		select {
 		case <-ctx.Done():
@@ -90,74 +91,74 @@
 		case <-ticker.C:
 		}
 		var err error
-		if d.clock().Sub(leaseAt) >= renewInterval {
-			leaseAt = d.clock()
-			err = d.keepLease(ctx)
+		if d.clock().Sub(lastRenewal) >= renewInterval {
+			lastRenewal = d.clock()
+			err = d.maintainLease(ctx)
 		}
 		if d.lease.held(d.clock()) {
 			err = errors.Join(err, d.plan(ctx))
 		} else {
 			d.planner = nil
 		}
-		d.publish(err)
+		d.storeState(err)
 	}
 }
 
-// keepLease reads the lease, and takes or renews it.
-func (d *Duty) keepLease(ctx context.Context) error {
+// maintainLease reads the lease and acquires or renews it if possible.
+func (d *Duty) maintainLease(ctx context.Context) error {
 	if !d.source.LeaseCandidate() {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	o, err := d.store.Get(ctx, leaseName(d.region))
 	if err != nil {
 		return eris.Wrap(err, "read the planner lease")
 	}
 	d.lease.observe(d.clock(), o)
-	asked := d.clock()
-	value, ok := d.lease.next(asked, sharedstate.NewWriteID())
+	sentAt := d.clock()
+	value, ok := d.lease.next(sentAt, sharedstate.NewWriteID())
 	if !ok {
 		return nil
 	}
 	data, err := json.Marshal(value)
 	if err != nil {
-		return eris.Wrap(err, "planner lease")
+		return eris.Wrap(err, "encode the planner lease")
 	}
 	version, err := d.store.Put(ctx, leaseName(d.region), o.Version, data)
 	if err != nil {
-		// The next read tells who holds it.
+		// The outcome may be unknown; the next read shows the holder.
 		return eris.Wrap(err, "write the planner lease")
 	}
-	d.lease.written(asked, sharedstate.Object{Name: leaseName(d.region), Version: version, Value: data}, value)
+	d.lease.writeApplied(sentAt, sharedstate.Object{Name: leaseName(d.region), Version: version, Value: data}, value)
 	return nil
 }
 
-// plan writes the next plan if there is something to change.
+// plan computes the next plan and writes it if it has changes.
 func (d *Duty) plan(ctx context.Context) error {
 	if d.planner == nil {
 		d.planner = New(d.region)
 		d.base = sharedstate.Object{}
 	}
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	if err := d.readBase(ctx); err != nil {
 		return err
 	}
-	picture := d.source.View()
-	if err := decodePlan(d.base, &picture.Plan); err != nil {
+	view := d.source.View()
+	if err := decodePlan(d.base, &view.Plan); err != nil {
 		return err
 	}
-	next, changes := d.planner.Propose(d.clock(), picture)
+	next, changes := d.planner.Propose(d.clock(), view)
 	if len(changes) == 0 {
 		return nil
 	}
 	return d.write(ctx, next, changes)
 }
 
-// readBase reads the plan once after taking the lease, and again after a write
-// that did not go through: nobody else writes it meanwhile, or the conditional
-// update finds out.
+// readBase reads the plan after the lease was acquired and after a failed write.
+// Otherwise the last version is used: the lease holder is the only writer, and if
+// not, the conditional update fails.
 func (d *Duty) readBase(ctx context.Context) error {
 	if d.base.Name != "" {
 		return nil
@@ -177,13 +178,13 @@
 	next.WriteID = sharedstate.NewWriteID()
 	data, err := json.Marshal(next)
 	if err != nil {
-		return eris.Wrap(err, "plan")
+		return eris.Wrap(err, "encode the plan")
 	}
 	version, err := d.store.Put(ctx, plan.ObjectName(d.region), d.base.Version, data)
 	if err != nil {
-		// Whatever became of the update, the object read next is the one to
-		// plan on. A delayed one that lands after that read makes the next
-		// conditional update fail, and the plan is read once more.
+		// Whether or not the update was applied, the next plan is based on the
+		// object read next. If a delayed update is applied after that read, the
+		// next conditional update fails and the plan is read again.
 		d.base = sharedstate.Object{}
 		return eris.Wrap(err, "write the plan")
 	}
@@ -197,7 +198,7 @@
 	return nil
 }
 
-func (d *Duty) publish(err error) {
+func (d *Duty) storeState(err error) {
 	s := &State{
 		Holding:     d.lease.held(d.clock()),
 		Holder:      d.lease.value.Holder,
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -1,9 +1,10 @@
-// Package planner decides what each engine of a region is to be and which
-// sidecar owns which key slot.
+// Package planner decides on the target state of each engine of a region and on
+// the sidecar that owns each key slot.
 //
-// It proposes; only the conditional update of the plan object makes a proposal
-// the plan. A planner that lost its authority during a pause therefore changes
-// nothing: its update is made on a version that is no longer there.
+// It only makes proposals; a proposal takes effect by a conditional update of the
+// plan object. A planner that lost its lease during a pause therefore changes
+// nothing: its update fails, because the version that it is based on has been
+// replaced.
 package planner
 
 import (
@@ -23,230 +24,234 @@
 )
 
 const (
-	// forgetAfter is how long a backend server is gone from the VM list before
-	// its row is removed. The list lags and can be short for a moment.
-	forgetAfter = 5 * time.Minute
-	// freshFor is how long a report counts as the present. Changing roles on
-	// older ones would answer a mix that may be over.
-	freshFor = 10 * time.Second
-	// largestChangingShare bounds the engines of one role that a rollout of
-	// weights takes away at once: a larger part would be missed.
-	largestChangingShare = 0.25
-	// rolloutInterval staggers loads of weights: the weight store is
-	// rate-limited, and engines that load at once all load slowly.
+	// removeAfter is how long a backend server must be missing from the VM list
+	// before its row is removed. The list lags and can be briefly incomplete.
+	removeAfter = 5 * time.Minute
+	// maxReportAge is the age up to which a load report counts as current. Role
+	// changes based on older ones would follow a demand that may be over.
+	maxReportAge = 10 * time.Second
+	// maxChangingFraction limits the engines of a role that a rollout of weights
+	// makes unavailable concurrently, so that enough capacity remains. One engine
+	// at a time is always allowed.
+	maxChangingFraction = 0.25
+	// rolloutInterval staggers the loading of weights: the weight store is
+	// rate-limited, and engines that load concurrently all load slowly.
 	rolloutInterval = 5 * time.Second
 )
 
-// LoadReport is what a sidecar last said of its backend server.
+// LoadReport is the last load report of a sidecar on its backend server.
 type LoadReport struct {
 	At   time.Time
 	Load *wire.Load
 }
 
-// Picture is what a Planner goes by. Plan is the one in force.
+// View is the state of the fleet that a proposal is based on. Plan is the active
+// plan.
 type View struct {
 	VMs    []sharedstate.VM
 	Config fleetconfig.Config
 	Plan   plan.Plan
 	// Reports is keyed by the name of the backend server.
 	Reports map[string]LoadReport
-	// Demand is the work offered for each model, also what was refused.
+	// Demand is the requested work by model, including rejected requests.
 	Demand map[string]shift.Demand
-	// Slots has the number of key slots of each plain service.
+	// Slots is the number of key slots by plain service.
 	Slots map[string]int
 }
 
-// Change is one thing that a proposal changes, for the decision log.
+// Change is one change of a proposal, for the decision log.
 type Change struct {
 	Subject  string
 	Decision string
 	Reason   string
 }
 
-// Planner proposes plans for one region. Its methods are for one goroutine.
+// Planner proposes plans for one region. It is not safe for concurrent use.
 type Planner struct {
-	region  string
-	models  map[string]*modelShift
-	goneAt  map[string]time.Time
-	since   map[string]time.Time
-	rollout time.Time
+	region       string
+	models       map[string]*modelRoles
+	missingSince map[string]time.Time
+	roleSince    map[string]time.Time
+	lastRollout  time.Time
 }
 
-// New returns a Planner that has seen nothing yet.
+// New returns a Planner without history.
 func New(region string) *Planner {
 	return &Planner{
-		region: region,
-		models: map[string]*modelShift{},
-		goneAt: map[string]time.Time{},
-		since:  map[string]time.Time{},
+		region:       region,
+		models:       map[string]*modelRoles{},
+		missingSince: map[string]time.Time{},
+		roleSince:    map[string]time.Time{},
 	}
 }
 
-// Propose returns the plan that should follow p.Plan and what it changes. With
-// no changes the two are equal and nothing is to be written.
-func (pl *Planner) Propose(now time.Time, p View) (plan.Plan, []Change) {
-	next := p.Plan.Clone()
+// Propose returns the plan that should replace view.Plan, and its changes. Without
+// changes the plans are equal and there is nothing to write.
+func (pl *Planner) Propose(now time.Time, view View) (plan.Plan, []Change) {
+	next := view.Plan.Clone()
 	next.Region = pl.region
 	if next.Engines == nil {
 		next.Engines = map[string]plan.Engine{}
 	}
-	draft := &draft{now: now, picture: p, plan: next, engines: enginesOf(p.VMs, pl.region)}
-	pl.forgetGone(draft)
-	pl.addNew(draft)
-	pl.followConfig(draft)
-	pl.shiftRoles(draft)
-	draft.assignSlots(pl.region)
-	checkGenerations(p.Plan, draft.plan)
-	return draft.plan, draft.changes
+	p := &proposal{now: now, view: view, plan: next, engines: modelEngines(view.VMs, pl.region)}
+	pl.removeMissing(p)
+	pl.adoptNew(p)
+	pl.rollOutConfig(p)
+	pl.shiftRoles(p)
+	p.assignSlots(pl.region)
+	checkGenerations(view.Plan, p.plan)
+	return p.plan, p.changes
 }
 
-// draft is a proposal that is being made.
-type draft struct {
+// proposal is a plan under construction.
+type proposal struct {
 	now     time.Time
-	picture View
+	view    View
 	plan    plan.Plan
 	changes []Change
-	// engines are the VMs of the region with a model engine, by name.
+	// engines has the VMs of the region that run a model engine, by name.
 	engines map[string]sharedstate.VM
 }
 
-func (d *draft) note(subject, decision, why string) {
-	d.changes = append(d.changes, Change{Subject: subject, Decision: decision, Reason: why})
+func (p *proposal) addChange(subject, decision, why string) {
+	p.changes = append(p.changes, Change{Subject: subject, Decision: decision, Reason: why})
 }
 
-// set changes a row and raises its generation.
-func (d *draft) set(name string, row plan.Engine, decision string) {
-	row.Generation = d.plan.Engines[name].Generation + 1
-	d.plan.Engines[name] = row
-	d.note(name, fmt.Sprintf("generation %d: %s", row.Generation, decision), row.Reason)
+// setRow replaces a row and increments its generation.
+func (p *proposal) setRow(name string, row plan.Engine, decision string) {
+	row.Generation = p.plan.Engines[name].Generation + 1
+	p.plan.Engines[name] = row
+	p.addChange(name, fmt.Sprintf("generation %d: %s", row.Generation, decision), row.Reason)
 }
 
-func enginesOf(vms []sharedstate.VM, region string) map[string]sharedstate.VM {
+func modelEngines(vms []sharedstate.VM, region string) map[string]sharedstate.VM {
 	return lo.KeyBy(lo.Filter(vms, func(vm sharedstate.VM, _ int) bool {
 		return vm.Kind == sharedstate.VMBackend && vm.Region == region && vm.Service == sharedstate.ServiceModels
 	}), func(vm sharedstate.VM) string { return vm.Name })
 }
 
-// forgetGone removes rows of backend servers that left. Their generations stay
-// below the floor, so that one that comes back is never ordered with a fencing
-// token that its engine has seen.
-func (pl *Planner) forgetGone(d *draft) {
-	if len(d.picture.VMs) == 0 {
+// removeMissing removes the rows of backend servers that left. It raises the
+// floor to their generations, so that the engine of a server that rejoins never
+// gets an order with a fencing token that it has already seen.
+func (pl *Planner) removeMissing(p *proposal) {
+	if len(p.view.VMs) == 0 {
 		return
 	}
-	for _, name := range sortedKeys(d.plan.Engines) {
-		if _, ok := d.engines[name]; ok {
-			delete(pl.goneAt, name)
+	for _, name := range sortedKeys(p.plan.Engines) {
+		if _, ok := p.engines[name]; ok {
+			delete(pl.missingSince, name)
 			continue
 		}
-		if _, ok := pl.goneAt[name]; !ok {
-			pl.goneAt[name] = d.now
+		if _, ok := pl.missingSince[name]; !ok {
+			pl.missingSince[name] = p.now
 		}
-		if d.now.Sub(pl.goneAt[name]) < forgetAfter {
+		if p.now.Sub(pl.missingSince[name]) < removeAfter {
 			continue
 		}
-		d.plan.GenerationFloor = max(d.plan.GenerationFloor, d.plan.Engines[name].Generation)
-		delete(d.plan.Engines, name)
-		delete(pl.goneAt, name)
-		delete(pl.since, name)
-		d.note(name, "row removed", "gone from the VM list")
+		p.plan.GenerationFloor = max(p.plan.GenerationFloor, p.plan.Engines[name].Generation)
+		delete(p.plan.Engines, name)
+		delete(pl.missingSince, name)
+		delete(pl.roleSince, name)
+		p.addChange(name, "row removed", "gone from the VM list")
 	}
 }
 
-// addNew adopts engines as they are: a row that says what the engine already
-// is costs no change.
-func (pl *Planner) addNew(d *draft) {
-	for name := range d.engines {
-		report, ok := d.fresh(name)
-		_, known := d.plan.Engines[name]
+// adoptNew adds rows for new engines in their reported state, which requires no
+// change of the engine.
+func (pl *Planner) adoptNew(p *proposal) {
+	for name := range p.engines {
+		report, ok := p.recentReport(name)
+		_, known := p.plan.Engines[name]
 		if known || !ok || len(report.GetModels()) == 0 || report.GetRole() == "" {
 			continue
 		}
-		d.plan.Engines[name] = plan.Engine{
-			Generation: d.firstGeneration(report),
+		p.plan.Engines[name] = plan.Engine{
+			Generation: p.firstGeneration(report),
 			Role:       engine.Role(report.GetRole()),
 			Model:      report.GetModels()[0],
 			Weights:    report.GetWeights(),
 			Adapters:   report.GetAdapters(),
 			Reason:     "adopted as it was found",
 		}
-		pl.since[name] = d.now
-		d.note(name, "row added", "new in the VM list")
+		pl.roleSince[name] = p.now
+		p.addChange(name, "row added", "new in the VM list")
 	}
 }
 
-// firstGeneration returns the generation of a new row. An engine that was never
-// ordered begins at 0 and needs no order; any other begins above all that its
-// name has seen, for one generation must not mean two things.
-func (d *draft) firstGeneration(report *wire.Load) uint64 {
-	seen := max(d.plan.GenerationFloor, report.GetGeneration())
-	if seen == 0 {
+// firstGeneration returns the generation of a new row. It is 0, for which no order
+// is needed, if the engine never got an order and the floor is 0. Otherwise it is
+// above all earlier ones, as a generation must not stand for two target states.
+func (p *proposal) firstGeneration(report *wire.Load) uint64 {
+	highest := max(p.plan.GenerationFloor, report.GetGeneration())
+	if highest == 0 {
 		return 0
 	}
-	return seen + 1
+	return highest + 1
 }
 
-// followConfig rolls out weights and adapters that operators set, a bounded
-// part of a role at a time.
-func (pl *Planner) followConfig(d *draft) {
-	for _, name := range sortedKeys(d.plan.Engines) {
-		vm, ok := d.engines[name]
-		row := d.plan.Engines[name]
-		wanted, differs := d.wanted(vm, row)
-		if !ok || !differs || !pl.mayRollOut(d, row) {
+// rollOutConfig rolls out the weights and adapters set by operators, to a limited
+// fraction of a role at a time.
+func (pl *Planner) rollOutConfig(p *proposal) {
+	for _, name := range sortedKeys(p.plan.Engines) {
+		vm, ok := p.engines[name]
+		row := p.plan.Engines[name]
+		configured, differs := p.configured(vm, row)
+		if !ok || !differs || !pl.canRollOut(p, row) {
 			continue
 		}
-		wanted.Reason = "fleet config: weights or adapters"
-		d.set(name, wanted, "weights "+wanted.Weights)
-		pl.rollout = d.now
+		configured.Reason = "fleet config: weights or adapters"
+		p.setRow(name, configured, "weights "+configured.Weights)
+		pl.lastRollout = p.now
 	}
 }
 
-// wanted returns the row with the weights and adapters of the fleet config.
-func (d *draft) wanted(vm sharedstate.VM, row plan.Engine) (plan.Engine, bool) {
-	values := d.values(vm, row.Model)
-	wanted := row
+// configured returns the row with the weights and adapters of the fleet config, and
+// whether it differs from the given row.
+func (p *proposal) configured(vm sharedstate.VM, row plan.Engine) (plan.Engine, bool) {
+	values := p.configValues(vm, row.Model)
+	configured := row
 	if values.Weights != nil {
-		wanted.Weights = *values.Weights
+		configured.Weights = *values.Weights
 	}
 	if values.Adapters != nil {
-		wanted.Adapters = values.Adapters
+		configured.Adapters = values.Adapters
 	}
-	differs := wanted.Weights != row.Weights || !slices.Equal(wanted.Adapters, row.Adapters)
-	return wanted, differs
+	differs := configured.Weights != row.Weights || !slices.Equal(configured.Adapters, row.Adapters)
+	return configured, differs
 }
 
-func (d *draft) values(vm sharedstate.VM, model string) fleetconfig.Values {
-	return d.picture.Config.For(fleetconfig.Scope{
+func (p *proposal) configValues(vm sharedstate.VM, model string) fleetconfig.Values {
+	return p.view.Config.For(fleetconfig.Scope{
 		Service:       vm.Service,
 		Model:         model,
 		DataCentre:    vm.DataCentre,
 		BackendServer: vm.Name,
-	}, d.now)
+	}, p.now)
 }
 
-func (pl *Planner) mayRollOut(d *draft, row plan.Engine) bool {
-	if d.now.Sub(pl.rollout) < rolloutInterval {
+func (pl *Planner) canRollOut(p *proposal, row plan.Engine) bool {
+	if p.now.Sub(pl.lastRollout) < rolloutInterval {
 		return false
 	}
 	peers, changing := 0, 0
-	for name, other := range d.plan.Engines {
+	for name, other := range p.plan.Engines {
 		if other.Model != row.Model || other.Role != row.Role {
 			continue
 		}
 		peers++
-		if d.changing(name) {
+		if p.changing(name) {
 			changing++
 		}
 	}
-	return changing == 0 || float64(changing+1) <= largestChangingShare*float64(peers)
+	return changing == 0 || float64(changing+1) <= maxChangingFraction*float64(peers)
 }
 
-// changing reports whether the engine is not yet what its row says, or
-// silent: one that cannot be seen is not counted on.
-func (d *draft) changing(name string) bool {
-	report, ok := d.fresh(name)
-	row := d.plan.Engines[name]
+// changing reports whether the engine has not reached the state of its row, does
+// not admit requests or has no recent report. Engines without a recent report do
+// not count as available.
+func (p *proposal) changing(name string) bool {
+	report, ok := p.recentReport(name)
+	row := p.plan.Engines[name]
 	if !ok {
 		return true
 	}
@@ -255,17 +260,19 @@
 		!report.GetAdmitting()
 }
 
-// fresh returns the report of a backend server that was heard from lately.
-func (d *draft) fresh(name string) (*wire.Load, bool) {
-	report, ok := d.picture.Reports[name]
-	if !ok || report.Load == nil || d.now.Sub(report.At) > freshFor {
+// recentReport returns the load report of a backend server unless it is older than
+// maxReportAge.
+func (p *proposal) recentReport(name string) (*wire.Load, bool) {
+	report, ok := p.view.Reports[name]
+	if !ok || report.Load == nil || p.now.Sub(report.At) > maxReportAge {
 		return nil, false
 	}
 	return report.Load, true
 }
 
-// checkGenerations asserts that no row goes back: a lower generation would be
-// refused by an engine that checks it, and taken by one that does not.
+// checkGenerations asserts that no generation decreases. A lower one would be
+// rejected by an engine that checks the fencing token, and wrongly accepted by one
+// that does not.
 func checkGenerations(before, after plan.Plan) {
 	for name, row := range after.Engines {
 		invariant.Check(row.Generation >= before.Engines[name].Generation, "generations only rise",
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -32,10 +32,10 @@
 
 const region = "seoul"
 
-// fleet is a picture that follows its plan at once.
+// fleet is a simulated fleet whose engines apply the plan immediately.
 type fleet struct {
 	now     time.Time
-	picture View
+	view    View
 	planner *Planner
 }
 
@@ -43,7 +43,7 @@
 	f := &fleet{
 		now:     time.Unix(1000, 0),
 		planner: New(region),
-		picture: View{
+		view: View{
 			Reports: map[string]LoadReport{},
 			Slots:   map[string]int{"holds": 16},
 		},
@@ -62,59 +62,60 @@
 }
 
 func (f *fleet) addVM(name, service string) {
-	f.picture.VMs = append(f.picture.VMs, sharedstate.VM{
+	f.view.VMs = append(f.view.VMs, sharedstate.VM{
 		Name: name, Kind: sharedstate.VMBackend, Region: region, DataCentre: "mapo", Service: service,
 	})
 }
 
 func (f *fleet) addEngine(name string, role engine.Role) {
 	f.addVM(name, sharedstate.ServiceModels)
-	f.picture.Reports[name] = LoadReport{At: f.now, Load: &wire.Load{
+	f.view.Reports[name] = LoadReport{At: f.now, Load: &wire.Load{
 		Role: string(role), Models: []string{"draft"}, Weights: "1", Admitting: true,
 		PrefillRate: 10_000, DecodeRate: 1_000,
 	}}
 }
 
 func (f *fleet) removeVM(name string) {
-	f.picture.VMs = lo.Reject(f.picture.VMs, func(vm sharedstate.VM, _ int) bool { return vm.Name == name })
+	f.view.VMs = lo.Reject(f.view.VMs, func(vm sharedstate.VM, _ int) bool { return vm.Name == name })
 }
 
-// step passes time, lets each engine follow its row, and plans for the rates of
-// offered work, which are for each engine.
+// step advances the time, applies the plan to the engines and makes a new plan. The
+// rates of requested work are per engine.
 func (f *fleet) step(d time.Duration, prefillRate, outputRate float64) []Change {
 	f.now = f.now.Add(d)
-	for name, report := range f.picture.Reports {
+	for name, report := range f.view.Reports {
 		load := proto.CloneOf(report.Load)
-		if row, ok := f.picture.Plan.Engines[name]; ok {
+		if row, ok := f.view.Plan.Engines[name]; ok {
 			load.Role, load.Weights, load.Generation = string(row.Role), row.Weights, row.Generation
 		}
-		f.picture.Reports[name] = LoadReport{At: f.now, Load: load}
+		f.view.Reports[name] = LoadReport{At: f.now, Load: load}
 	}
-	engines := float64(len(f.picture.Reports))
-	f.picture.Demand = map[string]shift.Demand{"draft": {
+	engines := float64(len(f.view.Reports))
+	f.view.Demand = map[string]shift.Demand{"draft": {
 		PrefillTokens: prefillRate * engines,
 		DecodeTokens:  outputRate * engines,
 	}}
-	next, changes := f.planner.Propose(f.now, f.picture)
-	f.picture.Plan = next
+	next, changes := f.planner.Propose(f.now, f.view)
+	f.view.Plan = next
 	return changes
 }
 
 func (f *fleet) roles() map[engine.Role]int {
-	return lo.CountValuesBy(lo.Values(f.picture.Plan.Engines), func(e plan.Engine) engine.Role { return e.Role })
+	return lo.CountValuesBy(lo.Values(f.view.Plan.Engines), func(e plan.Engine) engine.Role { return e.Role })
 }
 
 var _ = Describe("Planner", func() {
-	It("adopts engines as they are", func() {
+	It("adopts engines in their current state", func() {
 		f := newFleet(4, 0)
 		f.step(time.Second, 0, 0)
 		Expect(f.roles()).To(Equal(map[engine.Role]int{engine.RolePrefill: 2, engine.RoleDecode: 2}))
 		Expect(f.step(time.Second, 0, 0)).To(BeEmpty())
 	})
 
-	// The mix turns to long prompts and stays there: prompts wait before a few
-	// prefill engines while decode engines idle, and drafts miss their call.
-	It("moves engines to the role that is short, and leaves some in each", func() {
+	// Guards against fixed roles under a lasting shift to long prompts: prompts would
+	// queue at a few prefill engines while decode engines idle, and requests would
+	// miss their deadlines.
+	It("moves engines to the overloaded role, and leaves some in each", func() {
 		f := newFleet(8, 0)
 		for range 600 {
 			f.step(time.Second, 9_000, 50)
@@ -123,70 +124,70 @@
 		Expect(f.roles()[engine.RoleDecode]).To(BeNumerically(">=", 1))
 	})
 
-	// Reports stop, as when links are cut. Planning on the last ones would
-	// answer a mix that may be over.
+	// Guards against planning on stale data: when links are down, the demand of the
+	// last reports may be over.
 	It("changes no role while most reports are old", func() {
 		f := newFleet(8, 0)
 		f.step(time.Second, 0, 0)
 		before := f.roles()
 		for range 100 {
 			f.now = f.now.Add(time.Second)
-			next, _ := f.planner.Propose(f.now.Add(freshFor), f.picture)
-			f.picture.Plan = next
+			next, _ := f.planner.Propose(f.now.Add(maxReportAge), f.view)
+			f.view.Plan = next
 		}
 		Expect(f.roles()).To(Equal(before))
 	})
 
-	// New weights are set for the whole fleet. Loaded everywhere at once, they
-	// would take all engines away for as long as the loads last.
+	// Guards against an outage when new weights are set for the whole fleet: if all
+	// engines loaded them concurrently, none would be available meanwhile.
 	It("rolls weights out a few engines at a time", func() {
 		f := newFleet(8, 0)
 		f.step(time.Second, 0, 0)
-		f.picture.Config.Defaults.Weights = lo.ToPtr("2")
+		f.view.Config.Defaults.Weights = lo.ToPtr("2")
 		for range 60 {
 			changes := f.step(time.Second, 0, 0)
 			Expect(len(changes)).To(BeNumerically("<=", 1))
 		}
-		for _, row := range f.picture.Plan.Engines {
+		for _, row := range f.view.Plan.Engines {
 			Expect(row.Weights).To(Equal("2"))
 		}
 	})
 
-	// A backend server leaves for long and comes back under its name, its
-	// engine as it was. A row that began at 1 again would be refused by an
-	// engine that has taken a higher generation.
-	It("orders a returned engine above every earlier generation", func() {
+	// Guards against reused generations: a backend server is removed and rejoins
+	// under its name, with its engine unchanged. The engine would reject a new row
+	// that starts at 1 again, as it has seen a higher generation.
+	It("gives a rejoining engine a generation above all earlier ones", func() {
 		f := newFleet(2, 0)
 		f.step(time.Second, 0, 0)
-		f.picture.Config.Defaults.Weights = lo.ToPtr("2")
+		f.view.Config.Defaults.Weights = lo.ToPtr("2")
 		for range 20 {
 			f.step(time.Second, 0, 0)
 		}
-		highest := f.picture.Plan.Engines["engine-1"].Generation
+		highest := f.view.Plan.Engines["engine-1"].Generation
 		f.removeVM("engine-1")
 		f.step(time.Second, 0, 0)
-		f.step(forgetAfter, 0, 0)
-		Expect(f.picture.Plan.Engines).NotTo(HaveKey("engine-1"))
+		f.step(removeAfter, 0, 0)
+		Expect(f.view.Plan.Engines).NotTo(HaveKey("engine-1"))
 
 		f.addEngine("engine-1", engine.RoleDecode)
 		f.step(time.Second, 0, 0)
-		Expect(f.picture.Plan.Engines["engine-1"].Generation).To(BeNumerically(">", highest))
+		Expect(f.view.Plan.Engines["engine-1"].Generation).To(BeNumerically(">", highest))
 	})
 
-	// The VM list is empty or short for a moment. Rows dropped at once would
-	// make the whole fleet look new.
-	It("keeps its rows when the VM list comes back empty", func() {
+	// Guards against a VM list that is briefly empty or incomplete: if rows were
+	// removed immediately, the whole fleet would look new.
+	It("keeps its rows when the VM list is empty", func() {
 		f := newFleet(4, 2)
 		f.step(time.Second, 0, 0)
-		before := f.picture.Plan
-		f.picture.VMs = nil
-		f.step(2*forgetAfter, 0, 0)
-		Expect(f.picture.Plan).To(Equal(before))
+		before := f.view.Plan
+		f.view.VMs = nil
+		f.step(2*removeAfter, 0, 0)
+		Expect(f.view.Plan).To(Equal(before))
 	})
 
-	// Owners join and leave in any order. A slot that moved without need holds
-	// its calls back, and a changed count sends a key to where its claim is
-	// not known, so that the call runs twice.
+	// Guards against needless slot moves, which delay calls, and against a changed
+	// number of slots: a key would map to an owner that does not know its claim, and
+	// the call would run twice. Owners join and leave in random order.
 	It("keeps slots with owners that stay, in random runs", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			f := newFleet(0, 3)
@@ -198,12 +199,12 @@
 					joined++
 				},
 				"leave": func(t *rapid.T) {
-					if len(f.picture.VMs) > 1 {
-						f.removeVM(rapid.SampledFrom(f.picture.VMs).Draw(t, "vm").Name)
+					if len(f.view.VMs) > 1 {
+						f.removeVM(rapid.SampledFrom(f.view.VMs).Draw(t, "vm").Name)
 					}
 				},
 				"": func(t *rapid.T) {
-					before := f.picture.Plan.Slots["holds"].Owners
+					before := f.view.Plan.Slots["holds"].Owners
 					f.step(time.Second, 0, 0)
 					checkSlots(t, f, before)
 				},
@@ -213,19 +214,19 @@
 })
 
 func checkSlots(t *rapid.T, f *fleet, before []string) {
-	after := f.picture.Plan.Slots["holds"].Owners
-	present := lo.Map(f.picture.VMs, func(vm sharedstate.VM, _ int) string { return vm.Name })
+	after := f.view.Plan.Slots["holds"].Owners
+	present := lo.Map(f.view.VMs, func(vm sharedstate.VM, _ int) string { return vm.Name })
 	moved := 0
 	for slot, owner := range after {
 		if !lo.Contains(present, owner) {
-			t.Fatalf("slot %d belongs to %s, which is gone", slot, owner)
+			t.Fatalf("slot %d is owned by %s, which has left", slot, owner)
 		}
 		if owner != before[slot] && lo.Contains(present, before[slot]) {
 			moved++
 		}
 	}
-	if len(after) != len(before) || moved > movesPerProposal {
-		t.Fatalf("%d slots became %d, %d moved without need", len(before), len(after), moved)
+	if len(after) != len(before) || moved > maxRebalancedSlots {
+		t.Fatalf("slot count was %d and is %d; %d slots of present owners moved", len(before), len(after), moved)
 	}
 }
 
@@ -236,7 +237,7 @@
 		return sharedstate.Object{Name: leaseName(region), Version: version, Value: data}
 	}
 
-	It("is taken only after it stood still for its term", func() {
+	It("is acquired only after it was not renewed for its term", func() {
 		now := time.Unix(1000, 0)
 		l := newLease("b")
 		l.observe(now, object(1, "a"))
@@ -250,15 +251,15 @@
 		Expect(next.Term).To(BeEquivalentTo(2))
 	})
 
-	// The holder is paused for longer than its term and wakes up. If it went
-	// on planning, two entries would plan at once and undo each other's work.
+	// Guards against two planners: if a holder went on planning after a pause longer
+	// than its term, two entries would plan concurrently and undo each other's work.
 	It("is not held after a pause", func() {
 		now := time.Unix(1000, 0)
 		l := newLease("a")
 		l.observe(now, sharedstate.Object{})
 		value, ok := l.next(now, "w")
 		Expect(ok).To(BeTrue())
-		l.written(now, object(1, "a"), value)
+		l.writeApplied(now, object(1, "a"), value)
 		Expect(l.held(now.Add(time.Second))).To(BeTrue())
 		Expect(l.held(now.Add(leaseTerm))).To(BeFalse())
 		l.observe(now.Add(leaseTerm), object(2, "b"))
--- a/internal/planner/roles.go
+++ b/internal/planner/roles.go
@@ -10,46 +10,46 @@
 	"pistachioroad.dev/pistachioroad/internal/engine"
 )
 
-// modelShift decides the roles of one model's engines.
-type modelShift struct {
+// modelRoles is the state of the role decision for one model.
+type modelRoles struct {
 	config  shift.Config
 	planner *shift.Planner
 }
 
-// shiftRoles asks the role decision of each model.
-func (pl *Planner) shiftRoles(d *draft) {
-	byModel := lo.GroupBy(sortedKeys(d.plan.Engines), func(name string) string {
-		return d.plan.Engines[name].Model
+// shiftRoles applies the role changes for each model.
+func (pl *Planner) shiftRoles(p *proposal) {
+	byModel := lo.GroupBy(sortedKeys(p.plan.Engines), func(name string) string {
+		return p.plan.Engines[name].Model
 	})
 	for _, model := range sortedKeys(byModel) {
-		pl.shiftModel(d, model, byModel[model])
+		pl.shiftModel(p, model, byModel[model])
 	}
 }
 
-func (pl *Planner) shiftModel(d *draft, model string, names []string) {
-	m := pl.model(d, model)
-	fleet, fresh := pl.fleet(d, model, names)
-	// Half of the fleet unseen: the demand is not known, and a change made on
-	// it would be a guess.
-	if 2*fresh <= len(names) {
+func (pl *Planner) shiftModel(p *proposal, model string, names []string) {
+	m := pl.model(p, model)
+	fleet, recent := pl.fleetOf(p, model, names)
+	// Without recent reports of more than half of the engines, the demand is
+	// unknown and a change would be a guess.
+	if 2*recent <= len(names) {
 		return
 	}
-	for _, change := range m.planner.Step(d.now, fleet).Changes {
-		row := d.plan.Engines[change.Name]
+	for _, change := range m.planner.Step(p.now, fleet).Changes {
+		row := p.plan.Engines[change.Name]
 		row.Role = engine.Role(change.To)
 		row.Reason = change.Reason
-		d.set(change.Name, row, "role "+string(change.To))
-		pl.since[change.Name] = d.now
+		p.setRow(change.Name, row, "role "+string(change.To))
+		pl.roleSince[change.Name] = p.now
 	}
 }
 
-// model returns the state of a model's decision. It begins anew when operators
-// change its settings.
-func (pl *Planner) model(d *draft, model string) *modelShift {
-	config := d.shiftConfig(model)
+// model returns the state of the role decision for a model. It is reset if
+// operators change its settings.
+func (pl *Planner) model(p *proposal, model string) *modelRoles {
+	config := p.shiftConfig(model)
 	m := pl.models[model]
 	if m == nil {
-		m = &modelShift{}
+		m = &modelRoles{}
 		pl.models[model] = m
 	}
 	if m.planner == nil || m.config != config {
@@ -59,45 +59,47 @@
 	return m
 }
 
-func (pl *Planner) fleet(d *draft, model string, names []string) (shift.Fleet, int) {
-	fleet, fresh := shift.Fleet{Demand: d.picture.Demand[model]}, 0
+// fleetOf returns the input of the role decision, and the number of engines with a
+// recent report.
+func (pl *Planner) fleetOf(p *proposal, model string, names []string) (shift.Fleet, int) {
+	fleet, recent := shift.Fleet{Demand: p.view.Demand[model]}, 0
 	for _, name := range names {
-		row := d.plan.Engines[name]
-		vm, present := d.engines[name]
-		if _, ok := pl.since[name]; !ok {
-			// A planner that has just taken over does not know how long the
-			// role is held, and counts from now.
-			pl.since[name] = d.now
+		row := p.plan.Engines[name]
+		vm, present := p.engines[name]
+		if _, ok := pl.roleSince[name]; !ok {
+			// A planner that has just acquired the lease does not know when the
+			// role was set, so the dwell time starts now.
+			pl.roleSince[name] = p.now
 		}
-		report, ok := d.fresh(name)
-		drained := present && lo.FromPtr(d.values(vm, row.Model).Drained)
+		report, ok := p.recentReport(name)
+		drained := present && lo.FromPtr(p.configValues(vm, row.Model).Drained)
 		fleet.Engines = append(fleet.Engines, shift.Engine{
 			Name:         name,
 			Role:         shift.Role(row.Role),
 			Movable:      ok && present && !vm.Leaving && !drained,
-			Changing:     d.changing(name),
-			RoleSince:    pl.since[name],
+			Changing:     p.changing(name),
+			RoleSince:    pl.roleSince[name],
 			QueuedTokens: int(report.GetQueuedTokens()),
 		})
 		if !ok {
 			continue
 		}
-		fresh++
+		recent++
 		fleet.Demand.PrefillBacklog += float64(report.GetQueuedTokens())
 		fleet.Capacity.PrefillTokens += report.GetPrefillRate()
 		fleet.Capacity.DecodeTokens += report.GetDecodeRate()
 	}
-	fleet.Capacity.PrefillTokens /= math.Max(1, float64(fresh))
-	fleet.Capacity.DecodeTokens /= math.Max(1, float64(fresh))
-	return fleet, fresh
+	fleet.Capacity.PrefillTokens /= math.Max(1, float64(recent))
+	fleet.Capacity.DecodeTokens /= math.Max(1, float64(recent))
+	return fleet, recent
 }
 
-// shiftConfig takes the operators' settings of the decision.
-func (d *draft) shiftConfig(model string) shift.Config {
-	values := d.picture.Config.For(fleetScope(model), d.now)
+// shiftConfig returns the operators' settings for the role decision of a model.
+func (p *proposal) shiftConfig(model string) shift.Config {
+	values := p.view.Config.For(modelScope(model), p.now)
 	return shift.Config{
 		RoleChangeCost: lo.FromPtr(values.RoleChangeCost),
-		Dwell:          time.Duration(lo.FromPtr(values.ChangeDwell)),
+		MinDwell:       time.Duration(lo.FromPtr(values.ChangeDwell)),
 		MaxInFlight:    lo.FromPtr(values.MaxChangesInFlight),
 	}
 }
--- a/internal/planner/slots.go
+++ b/internal/planner/slots.go
@@ -13,49 +13,50 @@
 	"pistachioroad.dev/pistachioroad/internal/sharedstate"
 )
 
-// movesPerProposal bounds the slots that move for balance alone. Each move
-// holds the calls of its keys back for a moment.
-const movesPerProposal = 2
+// maxRebalancedSlots limits the slots that a proposal moves only for balance. Each
+// move briefly delays the calls for the keys of the slot.
+const maxRebalancedSlots = 2
 
-// fleetScope is the scope of a model's settings.
-func fleetScope(model string) fleetconfig.Scope {
+// modelScope returns the scope of a model's settings.
+func modelScope(model string) fleetconfig.Scope {
 	return fleetconfig.Scope{Service: sharedstate.ServiceModels, Model: model}
 }
 
-// assignSlots gives each key slot of each plain service to one of its backend
-// servers. A slot stays where it is while its owner stays.
-func (d *draft) assignSlots(region string) {
-	for _, service := range sortedKeys(d.picture.Slots) {
-		candidates := d.slotCandidates(region, service)
+// assignSlots assigns each key slot of each plain service to one of its backend
+// servers. Apart from rebalancing, a slot keeps its owner while the owner stays.
+func (p *proposal) assignSlots(region string) {
+	for _, service := range sortedKeys(p.view.Slots) {
+		candidates := p.slotCandidates(region, service)
 		if len(candidates) == 0 {
 			continue
 		}
-		before := d.plan.Slots[service].Owners
-		owners := assign(service, before, d.picture.Slots[service], candidates)
+		before := p.plan.Slots[service].Owners
+		owners := assign(service, before, p.view.Slots[service], candidates)
 		if slices.Equal(before, owners) {
 			continue
 		}
 		invariant.Check(len(before) == 0 || len(before) == len(owners), "slot count never changes",
 			"%s from %d to %d", service, len(before), len(owners))
-		d.plan.Slots[service] = plan.Slots{Owners: owners}
-		d.note(service, "slots assigned", "owners joined or left")
+		p.plan.Slots[service] = plan.Slots{Owners: owners}
+		p.addChange(service, "slots assigned", "owners joined or left")
 	}
 }
 
-// slotCandidates returns the backend servers of a service that stay.
-func (d *draft) slotCandidates(region, service string) []string {
-	staying := lo.Filter(d.picture.VMs, func(vm sharedstate.VM, _ int) bool {
+// slotCandidates returns the backend servers of a service that are neither leaving
+// nor drained.
+func (p *proposal) slotCandidates(region, service string) []string {
+	staying := lo.Filter(p.view.VMs, func(vm sharedstate.VM, _ int) bool {
 		return vm.Kind == sharedstate.VMBackend && vm.Region == region && vm.Service == service &&
-			!vm.Leaving && !lo.FromPtr(d.values(vm, "").Drained)
+			!vm.Leaving && !lo.FromPtr(p.configValues(vm, "").Drained)
 	})
 	names := lo.Map(staying, func(vm sharedstate.VM, _ int) string { return vm.Name })
 	slices.Sort(names)
 	return names
 }
 
-// assign returns the owner of each slot. The number of slots is that of the
-// first assignment: another number would send the same key to another slot,
-// where its claim is not known.
+// assign returns the owner of each slot. The number of slots never changes after
+// the first assignment: otherwise a key would map to another slot, whose owner does
+// not know its claim.
 func assign(service string, before []string, count int, candidates []string) []string {
 	if len(before) > 0 {
 		count = len(before)
@@ -70,7 +71,7 @@
 	}
 	for slot := range owners {
 		if owners[slot] == "" {
-			owners[slot] = leastOwning(service, slot, candidates, owned)
+			owners[slot] = leastLoadedOwner(service, slot, candidates, owned)
 			owned[owners[slot]]++
 		}
 	}
@@ -78,11 +79,12 @@
 	return owners
 }
 
-// balance moves a few slots from the largest owner to the smallest.
+// balance moves up to maxRebalancedSlots slots from the candidate with the most
+// slots to the one with the fewest.
 func balance(service string, owners, candidates []string, owned map[string]int) {
-	for range movesPerProposal {
-		most := slices.MaxFunc(candidates, byOwned(owned))
-		least := slices.MinFunc(candidates, byOwned(owned))
+	for range maxRebalancedSlots {
+		most := slices.MaxFunc(candidates, compareOwned(owned))
+		least := slices.MinFunc(candidates, compareOwned(owned))
 		if owned[most]-owned[least] <= 1 {
 			return
 		}
@@ -93,15 +95,15 @@
 	}
 }
 
-func byOwned(owned map[string]int) func(a, b string) int {
+func compareOwned(owned map[string]int) func(a, b string) int {
 	return func(a, b string) int {
 		return cmp.Or(cmp.Compare(owned[a], owned[b]), cmp.Compare(a, b))
 	}
 }
 
-// leastOwning returns the candidate with the fewest slots, and among equals
-// the one of the highest rendezvous weight.
-func leastOwning(service string, slot int, candidates []string, owned map[string]int) string {
+// leastLoadedOwner returns the candidate with the fewest slots, and among equals
+// the one with the highest rendezvous hashing weight.
+func leastLoadedOwner(service string, slot int, candidates []string, owned map[string]int) string {
 	weight := func(name string) uint64 {
 		return xxhash.Sum64String(service + "/" + name + "/" + string(rune(slot)))
 	}
--- a/internal/request/fingerprint.go
+++ b/internal/request/fingerprint.go
@@ -7,14 +7,14 @@
 	"strconv"
 )
 
-// Fingerprint is the same for all tries of one request, whatever its id: its method,
-// host, target and body. It is taken from a cryptographic hash, so that no caller can
-// make a request of its own that has another's.
+// Fingerprint identifies a request across its attempts, independent of its id: it is a
+// cryptographic hash of method, host, target and body, so that no caller can forge
+// a request with the fingerprint of another.
 type Fingerprint uint64
 
-// Fingerprint returns the request's. A request without a body also has its caller's IP
-// number in it: many callers ask for the same target. With a body it has not, as one
-// caller's tries may come from several addresses.
+// Fingerprint returns the fingerprint of r. Without a body it includes the caller's IP
+// address, as many callers request the same target. With a body it does not, as a
+// caller may retry from several addresses.
 func (r *Request) Fingerprint() Fingerprint {
 	fields := []string{r.Method, r.Host, r.Target}
 	if len(r.Body) == 0 {
@@ -22,12 +22,12 @@
 	}
 	h := sha256.New()
 	for _, field := range fields {
-		// The length keeps two fields from being taken for two others.
+		// The length prefix keeps different splits of the same text distinct.
 		io.WriteString(h, strconv.Itoa(len(field))+":"+field)
 	}
 	h.Write(r.Body)
 	return Fingerprint(binary.BigEndian.Uint64(h.Sum(nil)))
 }
 
-// String returns the form used in logs.
+// String returns the fingerprint in hexadecimal, as used in logs.
 func (f Fingerprint) String() string { return strconv.FormatUint(uint64(f), 16) }
--- a/internal/request/fingerprint_test.go
+++ b/internal/request/fingerprint_test.go
@@ -6,29 +6,29 @@
 	"pistachioroad.dev/pistachioroad/internal/request"
 )
 
-// Guards against one caller's tries from several addresses being taken for several
-// requests, and against many callers' reads of one target being taken for one.
-func TestFingerprintHasTheCallerOfRequestsWithoutBody(t *testing.T) {
+// Guards against counting one caller's retries from several addresses as different
+// requests, and against counting GETs of one target by many callers as one request.
+func TestFingerprintIncludesCallerWithoutBody(t *testing.T) {
 	post := request.Request{Method: "POST", Target: "/a", Caller: "10.0.0.1", Body: []byte("x")}
 	get := request.Request{Method: "GET", Target: "/a", Caller: "10.0.0.1"}
 	otherPost, otherGet := post, get
 	otherPost.Caller, otherGet.Caller = "10.0.0.2", "10.0.0.2"
 	if post.Fingerprint() != otherPost.Fingerprint() {
-		t.Error("a body from another address is another request")
+		t.Error("same request with a body from another address has another fingerprint")
 	}
 	if get.Fingerprint() == otherGet.Fingerprint() {
-		t.Error("reads of two callers are one request")
+		t.Error("GETs of two callers have the same fingerprint")
 	}
 }
 
-// Guards against tries of one request that are not known as such, and against requests
-// of others that are taken for them.
-func TestFingerprintTellsRequestsApartByWhatTheyAskFor(t *testing.T) {
+// Guards against retries that are not recognised as the same request, and against
+// different requests that are mistaken for a retry.
+func TestFingerprintDependsOnContentOnly(t *testing.T) {
 	one := request.Request{ID: "1", Method: "POST", Host: "h", Target: "/a/b", Caller: "10.0.0.1", Body: []byte("x")}
 	again := one
 	again.ID = "2"
 	if one.Fingerprint() != again.Fingerprint() {
-		t.Error("another id makes another fingerprint")
+		t.Error("fingerprint depends on the request id")
 	}
 	for name, change := range map[string]func(*request.Request){
 		"method": func(r *request.Request) { r.Method = "PUT" },
@@ -40,7 +40,7 @@
 		other := one
 		change(&other)
 		if one.Fingerprint() == other.Fingerprint() {
-			t.Errorf("another %s makes no other fingerprint", name)
+			t.Errorf("fingerprint does not depend on the %s", name)
 		}
 	}
 }
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -1,5 +1,5 @@
-// Package request holds one caller's request and a backend server's answer to
-// it, as the gateway passes them on.
+// Package request defines a caller's request and the head of a backend server's
+// response to it, as the gateway forwards them.
 package request
 
 import (
@@ -9,113 +9,115 @@
 	"pistachioroad.dev/pistachioroad/internal/backend"
 )
 
-// Request is a caller's request. Method, Target and Body go to the backend
-// server byte for byte.
+// Request is a caller's request. Method, Target and Body are forwarded to the
+// backend server unchanged, byte for byte.
 type Request struct {
 	ID     string
 	Method string
-	// Target is the request target as it stood on the request line.
+	// Target is the request target as received in the request line.
 	Target string
 	Host   string
-	// Caller is the IP number that the request came from.
+	// Caller is the IP address that the request came from.
 	Caller string
-	// Header is what is passed on: without fields of one connection and
-	// without those that only the gateway may set.
+	// Header has the fields to forward, without hop-by-hop fields and those that
+	// only the gateway may set.
 	Header http.Header
 	Body   []byte
 
-	// Received is when the head had been read.
+	// Received is when the request head was received completely.
 	Received time.Time
-	// Patience is how long the caller waits from then on; 0 if it did not say.
+	// Timeout is how long the caller waits, counted from Received; 0 if unknown.
 	Timeout time.Duration
 
 	Prompt Prompt
-	// LastEventID is where the caller resumes a stream; empty for a new one.
+	// LastEventID is the last event that the caller received of a stream to
+	// resume; empty for a new stream.
 	LastEventID string
 }
 
-// Prompt is the work of a request for a model engine.
+// Prompt describes the work of a request to a model engine.
 type Prompt struct {
 	Model string
-	// Tokens is the length of the prompt, MaxOutput the most tokens of answer.
+	// Tokens is the length of the prompt, MaxOutputTokens the limit on output tokens.
 	Tokens, MaxOutputTokens int
-	// Output is how many tokens of answer the caller expects, often far off; 0 if
-	// it did not say.
+	// ExpectedOutputTokens is the number of output tokens that the caller expects; 0 if unknown.
+	// Such estimates are often far off.
 	ExpectedOutputTokens int
-	// Done is how many events of the answer the caller has already.
+	// DeliveredEvents is the number of events of the answer that the caller already has.
 	DeliveredEvents int
-	// Parts are the prompt's parts in order. The last one belongs to this
-	// request or its session, the others are shared between requests.
+	// Segments are the segments of the prompt in order. The last one belongs to
+	// this request or its session, the others are shared between requests.
 	Segments []Segment
 }
 
-// Part is a run of prompt tokens that has the same ID wherever it occurs.
+// Segment is a sequence of prompt tokens. It has the same ID in every prompt that
+// contains it.
 type Segment struct {
 	ID     uint64
 	Tokens int
 }
 
-// Stage is which part of the work a send asks for.
+// Stage selects how much of the work an attempt requests.
 type Stage uint8
 
 const (
-	// Whole asks for the whole answer.
+	// FullRequest requests the complete answer.
 	FullRequest Stage = iota
-	// PrefillOnly asks to read the prompt and keep its KV cache for another.
+	// PrefillOnly requests a prefill whose KV cache is kept for another server.
 	PrefillOnly
 )
 
-// Options are what the gateway adds to a request for one send.
+// Options are the fields that the gateway adds to a request for one attempt.
 type Options struct {
-	// Server must be the one that takes the request; any other refuses it.
+	// Server is the intended backend server; any other rejects the request.
 	Server backend.Server
-	// Left is the time that the server may take.
+	// Remaining is the time that the server has for the request.
 	Remaining time.Duration
 	Stage     Stage
-	// KVSource is where the prompt's KV cache is fetched from, empty for none.
+	// KVSource is where to fetch the KV cache of the prompt from; empty for none.
 	KVSource string
-	// Priority orders requests at an engine: 0 first, 9 last.
+	// Priority orders requests at an engine: 0 is first, 9 is last.
 	Priority int
-	// ResumeAfter is the last event that the caller has; empty for none.
+	// ResumeAfter is the ID of the last event that the caller has; empty for none.
 	ResumeAfter string
 }
 
-// DefaultPriority is what an engine takes for a request without a priority.
+// DefaultPriority is the priority that an engine assumes if none is given.
 const DefaultPriority = 5
 
-// Answer is the head of a backend server's answer.
+// ResponseHead is the head of a backend server's response.
 type ResponseHead struct {
 	Status int
 	Header http.Header
-	// ID is the request that is answered; empty if the server did not say.
+	// RequestID is the ID of the request; empty if the server did not send it.
 	RequestID string
-	// Sealed says that the answer carries the server's authentication code.
+	// Sealed is set if the response carries the server's authentication code.
 	Sealed bool
-	// NotRun says that the server did not run the request and never will.
+	// NotRun is set if the server did not run the request and never will.
 	NotRun bool
-	// Load is the server's own load, if LoadKnown.
+	// Load is the reported load of the server, valid if LoadKnown.
 	Load      backend.Load
 	LoadKnown bool
-	// KeepFor is how long the server keeps the connection idle, 0 if unknown.
+	// IdleTimeout is how long the server keeps an idle connection open; 0 if unknown.
 	IdleTimeout time.Duration
-	// Limit is the server's own limit on what it gets.
+	// Limit is the rate limit that the server announces.
 	Limit Limit
 }
 
-// Limit is what a server says of the requests that it takes from all gateways together.
-// The zero Limit says that it names none.
+// Limit is the rate limit that a server sets on the requests from all gateways
+// together. The zero Limit means that it sets none.
 type Limit struct {
 	Limited bool
-	// PerSecond is how many it takes a second, if Named.
+	// PerSecond is the limit in requests per second, valid if Limited.
 	PerSecond float64
-	// Invalid is what the server said if it could not be understood: whether it names a
-	// limit is then not known.
+	// Invalid is the text that the server sent if it could not be parsed. It is then
+	// unknown whether the server sets a limit.
 	Invalid string
 }
 
-// Prefilled is the answer to a PrefillOnly send.
+// PrefillResult is the result of a PrefillOnly attempt.
 type PrefillResult struct {
-	// Handle names the KV cache at the server that read the prompt.
+	// Handle identifies the KV cache at the server that prefilled the prompt.
 	Handle string
 	Tokens int
 }
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -1,7 +1,7 @@
-// Package verdict says whether a request may have run.
+// Package verdict classifies errors by whether the request may have run.
 //
-// Every error on the request path carries a Verdict. It is what tells the
-// next layer, and in the end the caller, whether asking again is safe.
+// Every error on the request path carries a Verdict. From it the next layer, and
+// finally the caller, knows whether a retry is safe.
 package verdict
 
 import (
@@ -11,15 +11,16 @@
 	"github.com/rotisserie/eris"
 )
 
-// Verdict orders the outcomes of a request from harmless to final.
+// Verdict is what is known about the execution of a request. Higher values take
+// precedence over lower ones, see Worst.
 type Verdict uint8
 
 const (
-	// NotRun is a guarantee: the request did not run and never will.
+	// NotRun guarantees that the request did not run and never will.
 	NotRun Verdict = iota
-	// MayHaveRun says that nothing is known for certain.
+	// MayHaveRun means that it is unknown whether the request ran.
 	MayHaveRun
-	// Ran says that the request ran to its end.
+	// Ran means that the request ran to completion.
 	Ran
 )
 
@@ -38,19 +39,19 @@
 	}
 }
 
-// Worst returns the verdict of a request made of several attempts. An attempt
-// of unknown outcome outweighs one that certainly did not run, and an attempt
-// that ran outweighs both: reporting the last attempt alone would tell a
-// caller "not run" about a request whose first attempt is still running.
+// Worst returns the verdict of a request with several attempts. An attempt of
+// unknown outcome overrides one that did not run, and an attempt that ran
+// overrides both. Reporting only the last attempt would tell a caller "not run"
+// while the first attempt may still be running.
 func Worst(a, b Verdict) Verdict {
 	return max(a, b)
 }
 
-// Code names the reason of an Error for programs. Codes are part of the
-// callers' API.
+// Code identifies the reason of an Error for programs. Codes are part of the API
+// for callers.
 type Code string
 
-// The codes of the callers' API.
+// The codes of the API for callers.
 const (
 	CodeBadRequest       Code = "bad_request"
 	CodeTooLarge         Code = "too_large"
@@ -78,9 +79,9 @@
 type Error struct {
 	Verdict Verdict
 	Code    Code
-	// Message is for people.
+	// Message is a description for humans.
 	Message string
-	// RetryAfter is when asking again makes sense; zero when it does not.
+	// RetryAfter is the delay after which a retry is useful; zero if none is.
 	RetryAfter time.Duration
 }
 
@@ -94,13 +95,13 @@
 	return &Error{Verdict: v, Code: code, Message: message}
 }
 
-// Refused returns a NotRun Error that says when to come back.
+// NewRejection returns a NotRun Error with the delay after which to retry.
 func NewRejection(code Code, message string, retryAfter time.Duration) *Error {
 	return &Error{Verdict: NotRun, Code: code, Message: message, RetryAfter: retryAfter}
 }
 
-// Of returns the Error within err. An error that carries none is MayHaveRun:
-// claiming less would be a promise that nobody made.
+// Of returns the Error that err wraps. If there is none, it returns one with
+// MayHaveRun, as nothing guarantees that the request did not run.
 func Of(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
--- a/internal/verdict/verdict_test.go
+++ b/internal/verdict/verdict_test.go
@@ -17,9 +17,10 @@
 }
 
 var _ = Describe("Worst", func() {
-	// A first attempt is lost on a silent link and a second one is refused.
-	// A caller who is told "not run" asks again and the work runs twice.
-	It("keeps the verdict of the attempt that may have run", func() {
+	// Guards against running the work twice: the first attempt is lost on an
+	// unresponsive link and the second is rejected. With the verdict "not run", the
+	// caller would retry.
+	It("returns the verdict of the attempt that may have run", func() {
 		Expect(verdict.Worst(verdict.MayHaveRun, verdict.NotRun)).To(Equal(verdict.MayHaveRun))
 		Expect(verdict.Worst(verdict.NotRun, verdict.Ran)).To(Equal(verdict.Ran))
 	})
@@ -27,11 +28,11 @@
 
 var _ = Describe("Of", func() {
 	It("finds a wrapped error", func() {
-		refused := verdict.NewRejection(verdict.CodeOverloaded, "full", 1)
-		Expect(verdict.Of(eris.Wrap(refused, "send"))).To(BeIdenticalTo(refused))
+		rejected := verdict.NewRejection(verdict.CodeOverloaded, "full", 1)
+		Expect(verdict.Of(eris.Wrap(rejected, "send"))).To(BeIdenticalTo(rejected))
 	})
 
-	It("promises nothing about an error without a verdict", func() {
+	It("returns MayHaveRun for an error without a verdict", func() {
 		Expect(verdict.Of(errors.New("reset")).Verdict).To(Equal(verdict.MayHaveRun))
 	})
 })
