--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -15,19 +15,21 @@
 )
 
 const (
-	expireEvery = 200 * time.Millisecond
-	// publishEvery spaces the Views of changed servers. Each copies and indexes
-	// all servers, and when a deployment starts each server is a change.
-	publishEvery = 50 * time.Millisecond
+	expireInterval = 200 * time.Millisecond
+	// publishInterval is the minimum time between two Views with changed servers.
+	// Each copies and indexes all servers, and when a deployment starts, each server
+	// is a change.
+	publishInterval = 50 * time.Millisecond
 )
 
-// Kinds names the objects that are followed.
+// Kinds names the store objects that a Directory follows.
 type Kinds struct {
 	Config, ConfigName string
 	Servers            string
 }
 
-// Directory follows the store and publishes Views.
+// Directory follows the configuration and the server objects in the store and
+// publishes them as Views.
 type Directory struct {
 	store store.Store
 	kinds Kinds
@@ -35,32 +37,34 @@
 	mu    sync.Mutex
 	state *state
 	view  atomic.Pointer[View]
-	// publishedAt is when servers were last published; pending says that they
-	// have changed since and will be.
-	publishedAt time.Time
-	pending     bool
+	// publishedAt is when changed servers were last published; publishPending is
+	// set while a timer is running that publishes later changes.
+	publishedAt    time.Time
+	publishPending bool
 
-	// Watcher says whether this gateway is one of the few that watch the store
-	// for all; nil means that it watches.
+	// IsWatcher reports whether this gateway is one of the few that watch the store
+	// on behalf of all; nil means that it always watches.
 	IsWatcher func() bool
-	// OnEntry is told of each change of an entry that a watch saw, if set.
+	// OnServerChange, if set, is called for each change of a server object that a watch
+	// returned.
 	OnServerChange func(ServerChange)
 
+	// configWake and serversWake signal that another gateway has announced a change.
 	configWake, serversWake chan struct{}
-	// configRetry and serversRetry end a pause after a failed read.
+	// configRetry and serversRetry end the pause after a failed read.
 	configRetry, serversRetry chan struct{}
 
-	// OnChange is called after each change of the servers or the configuration,
-	// if set.
+	// OnChange, if set, is called after each change of the servers or the
+	// configuration.
 	OnChange func(*View)
 
-	// storeLost says that the last read of the store failed.
-	storeLost atomic.Bool
+	// storeUnreachable is set while the last read of the store failed.
+	storeUnreachable atomic.Bool
 
-	failures, dropped, early metrics.Counter
+	failures, compactions, earlyEnds metrics.Counter
 }
 
-// New returns a Directory that knows nothing yet.
+// New returns a Directory with an empty View.
 func New(s store.Store, d Decoder, kinds Kinds) *Directory {
 	dir := &Directory{
 		store: s,
@@ -72,62 +76,63 @@
 		configRetry:  make(chan struct{}, 1),
 		serversRetry: make(chan struct{}, 1),
 
-		failures: metrics.GetOrRegisterCounter("directory.store_failures", nil),
-		dropped:  metrics.GetOrRegisterCounter("directory.histories_dropped", nil),
-		early:    metrics.GetOrRegisterCounter("directory.watches_ended_early", nil),
+		failures:    metrics.GetOrRegisterCounter("directory.store_failures", nil),
+		compactions: metrics.GetOrRegisterCounter("directory.histories_dropped", nil),
+		earlyEnds:   metrics.GetOrRegisterCounter("directory.watches_ended_early", nil),
 	}
 	dir.view.Store(dir.state.snapshot())
 	return dir
 }
 
-// View returns what is known now.
+// View returns the latest View.
 func (d *Directory) View() *View { return d.view.Load() }
 
-// StoreLost reports whether the last read of the store failed.
-func (d *Directory) StoreUnreachable() bool { return d.storeLost.Load() }
+// StoreUnreachable reports whether the last read of the store failed.
+func (d *Directory) StoreUnreachable() bool { return d.storeUnreachable.Load() }
 
 // FollowConfig keeps the configuration up to date until ctx ends.
 func (d *Directory) FollowConfig(ctx context.Context) error {
 	return d.follow(ctx, &follower{
-		kind: d.kinds.Config,
-		list: d.configListed,
-		event: func(_ time.Time, e store.Event) {
+		kind:   d.kinds.Config,
+		onList: d.applyConfigList,
+		onEvent: func(_ time.Time, e store.Event) {
 			if e.Object.Name == d.kinds.ConfigName && !e.Removed {
-				d.takeConfig(e.Object)
+				d.applyConfig(e.Object)
 			}
 		},
-		confirm: func(at time.Time) { d.state.confirmConfig(at) },
-		lacks:   func() bool { return d.state.view.OutOfDate() },
-		wake:    d.configWake,
-		retry:   d.configRetry,
+		onConfirm: func(at time.Time) { d.state.confirmConfig(at) },
+		behind:    func() bool { return d.state.view.OutOfDate() },
+		wake:      d.configWake,
+		retry:     d.configRetry,
 	})
 }
 
 // FollowServers keeps the servers up to date until ctx ends.
 func (d *Directory) FollowServers(ctx context.Context) error {
 	return d.follow(ctx, &follower{
-		kind: d.kinds.Servers,
-		list: d.serversListed,
-		event: func(now time.Time, e store.Event) {
-			after := d.state.serversChanged
-			d.serverEvent(now, e)
-			d.state.changedAt(e.Object.Revision)
+		kind:   d.kinds.Servers,
+		onList: d.applyServerList,
+		onEvent: func(now time.Time, e store.Event) {
+			previous := d.state.serversLastChange
+			d.applyServerEvent(now, e)
+			d.state.recordLastChange(e.Object.Revision)
 			if d.OnServerChange != nil {
-				d.OnServerChange(ServerChange{Event: e, PreviousRevision: after})
+				d.OnServerChange(ServerChange{Event: e, PreviousRevision: previous})
 			}
 		},
-		lacks:   func() bool { return d.state.serversWanted > d.state.serversKnown },
-		sawAll:  func(at int64) { d.state.sawAll(at) },
-		wake:    d.serversWake,
-		retry:   d.serversRetry,
-		confirm: func(at time.Time) { d.state.confirmServers(at) },
-		lost:    func() { d.state.lost() },
+		behind:     func() bool { return d.state.serversAnnounced > d.state.serversSynced },
+		markSynced: func(revision int64) { d.state.markServersSynced(revision) },
+		wake:       d.serversWake,
+		retry:      d.serversRetry,
+		onConfirm:  func(at time.Time) { d.state.confirmServers(at) },
+		onFailure:  func() { d.state.markUnreachable() },
 	})
 }
 
-// Expire drops servers that stayed away after an outage, until ctx ends.
+// Expire removes servers that are still missing when the grace period after an
+// outage is over. It runs until ctx ends.
 func (d *Directory) Expire(ctx context.Context) error {
-	return periodic.Run(ctx, expireEvery, func(now time.Time) {
+	return periodic.Run(ctx, expireInterval, func(now time.Time) {
 		d.locked(func() {
 			if d.state.expire(now) {
 				d.publish(true)
@@ -142,42 +147,42 @@
 	step()
 }
 
-func (d *Directory) configListed(_ time.Time, l store.Listing) {
+func (d *Directory) applyConfigList(_ time.Time, l store.Listing) {
 	for _, o := range l.Objects {
 		if o.Name == d.kinds.ConfigName {
-			d.takeConfig(o)
+			d.applyConfig(o)
 		}
 	}
 	d.publish(false)
 }
 
-func (d *Directory) takeConfig(o store.Object) {
-	changed, err := d.state.config(o)
+func (d *Directory) applyConfig(o store.Object) {
+	changed, err := d.state.applyConfig(o)
 	if err != nil {
-		log.WithField("revision", o.Revision).WithField("error", err.Error()).Error("configuration not understood, the one before stays")
+		log.WithField("revision", o.Revision).WithField("error", err.Error()).Error("configuration cannot be decoded, keeping the previous one")
 		return
 	}
 	if changed {
 		t := d.state.view.Table
 		log.WithFields(log.Fields{
 			"version": t.Version, "revision": o.Revision, "routes": t.Len(), "services": len(t.Services),
-		}).Info("configuration in force")
+		}).Info("configuration applied")
 		d.publish(true)
 	}
 }
 
-func (d *Directory) serversListed(now time.Time, l store.Listing) {
-	changed, errs := d.state.listed(now, l)
+func (d *Directory) applyServerList(now time.Time, l store.Listing) {
+	changed, errs := d.state.applyServerList(now, l)
 	for _, err := range errs {
-		log.WithField("error", err.Error()).Warn("entry names no server")
+		log.WithField("error", err.Error()).Warn("server object is not valid")
 	}
 	d.publish(changed)
 }
 
-func (d *Directory) serverEvent(now time.Time, e store.Event) {
-	changed, err := d.state.serverChanged(now, e)
+func (d *Directory) applyServerEvent(now time.Time, e store.Event) {
+	changed, err := d.state.applyServerEvent(now, e)
 	if err != nil {
-		log.WithField("error", err.Error()).Warn("entry names no server")
+		log.WithField("error", err.Error()).Warn("server object is not valid")
 	}
 	if !changed {
 		return
@@ -187,42 +192,42 @@
 		"server": e.Object.Name, "there": there, "draining": s.Draining, "role": string(s.Role),
 		"address": s.Address, "revision": e.Object.Revision,
 	}).Info("backend server changed")
-	d.publishSoon(now)
+	d.publishCoalesced(now)
 }
 
-// publishSoon publishes changed servers at once, or with those that change
-// shortly after.
-func (d *Directory) publishSoon(now time.Time) {
-	if d.pending {
+// publishCoalesced publishes changed servers immediately, or, within
+// publishInterval of the last time, together with later changes.
+func (d *Directory) publishCoalesced(now time.Time) {
+	if d.publishPending {
 		return
 	}
-	wait := d.publishedAt.Add(publishEvery).Sub(now)
+	wait := d.publishedAt.Add(publishInterval).Sub(now)
 	if wait <= 0 {
 		d.publish(true)
 		return
 	}
-	d.pending = true
+	d.publishPending = true
 	time.AfterFunc(wait, func() {
 		d.locked(func() {
-			if d.pending {
+			if d.publishPending {
 				d.publish(true)
 			}
 		})
 	})
 }
 
-// publish makes the state visible, and announces it if it has changed. A view of
-// an unchanged state differs in its times only and shares the servers of the one
-// before: to copy some thousand of them at each confirmation took a tenth of a
-// small VM's processor.
+// publish makes the state visible as a View and calls OnChange if changed is set.
+// Without a change only the times differ, and the View shares the servers of the
+// previous one: copying some thousand servers at each confirmation took a tenth of
+// a small VM's CPU time.
 func (d *Directory) publish(changed bool) {
 	before := d.view.Load()
 	var v *View
 	if changed {
 		v = d.state.snapshot()
-		d.publishedAt, d.pending = time.Now(), false
+		d.publishedAt, d.publishPending = time.Now(), false
 	} else {
-		v = d.state.retimed(before)
+		v = d.state.snapshotWithServersOf(before)
 	}
 	invariant.Check(v.TableRevision >= before.TableRevision, "configuration-forward",
 		"revision %d after %d", v.TableRevision, before.TableRevision)
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -26,8 +26,8 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// plainDecoder takes a version or an address for the whole object; "bad" is
-// malformed.
+// plainDecoder decodes a configuration from its version alone and a server from its
+// address alone; "bad" is malformed.
 type plainDecoder struct{}
 
 func (plainDecoder) Config(o store.Object) (*routes.Table, error) {
@@ -62,90 +62,89 @@
 		return all
 	}
 
-	// An answer of the store that was read before the last change arrives after
-	// it. Taken in, requests would go to the service of the old configuration
-	// once more.
+	// Guards against requests to a service of a replaced configuration: a response of
+	// the store from before the last change arrives after it.
 	It("never goes back to an older configuration", func() {
-		changed, err := s.config(object("main", 9, "2"))
+		changed, err := s.applyConfig(object("main", 9, "2"))
 		Expect(changed, err).To(BeTrue())
-		changed, err = s.config(object("main", 8, "1"))
+		changed, err = s.applyConfig(object("main", 8, "1"))
 		Expect(changed, err).To(BeFalse())
 		Expect(s.snapshot().Table.Version).To(BeEquivalentTo(2))
 		Expect(s.snapshot().TableConfirmedAt).To(BeZero())
 	})
 
-	It("keeps its configuration when a newer one cannot be understood", func() {
-		_, _ = s.config(object("main", 9, "2"))
-		_, err := s.config(object("main", 10, "?"))
+	It("keeps its configuration when a newer one cannot be decoded", func() {
+		_, _ = s.applyConfig(object("main", 9, "2"))
+		_, err := s.applyConfig(object("main", 10, "?"))
 		Expect(err).To(HaveOccurred())
 		Expect(s.snapshot().Table.Version).To(BeEquivalentTo(2))
 	})
 
-	It("drops a server at once when its entry is removed", func() {
-		s.listed(at(0), listing(5, object("a", 1, "x"), object("b", 2, "y")))
-		changed, err := s.serverChanged(at(0), store.Event{Object: object("a", 6, "x"), Removed: true})
+	It("drops a server immediately when its object is removed", func() {
+		s.applyServerList(at(0), listing(5, object("a", 1, "x"), object("b", 2, "y")))
+		changed, err := s.applyServerEvent(at(0), store.Event{Object: object("a", 6, "x"), Removed: true})
 		Expect(changed, err).To(BeTrue())
 		Expect(names()).To(ConsistOf("b"))
 	})
 
-	// The store is away for some seconds. Servers cannot renew their entries,
-	// which lapse; when the store is back the list is empty, though every server
-	// lives. Callers would be refused until the servers are back in the list.
+	// Guards against rejected callers after an outage of the store: servers cannot
+	// renew their objects during it, which expire, so that the list is empty at first
+	// although every server is alive.
 	It("keeps servers that are missing right after an outage, for a while", func() {
-		s.listed(at(0), listing(5, object("a", 1, "x"), object("b", 2, "y")))
-		s.lost()
-		s.listed(at(10*time.Second), listing(9))
+		s.applyServerList(at(0), listing(5, object("a", 1, "x"), object("b", 2, "y")))
+		s.markUnreachable()
+		s.applyServerList(at(10*time.Second), listing(9))
 		Expect(names()).To(ConsistOf("a", "b"))
-		_, _ = s.serverChanged(at(11*time.Second), store.Event{Object: object("a", 12, "x")})
+		_, _ = s.applyServerEvent(at(11*time.Second), store.Event{Object: object("a", 12, "x")})
 		Expect(s.expire(at(11 * time.Second))).To(BeFalse())
 		Expect(s.expire(at(12*time.Second + time.Millisecond))).To(BeTrue())
 		Expect(names()).To(ConsistOf("a"))
 	})
 
-	It("does not keep a server that says it leaves, outage or not", func() {
-		s.listed(at(0), listing(5, object("a", 1, "x")))
-		s.lost()
-		s.listed(at(time.Second), listing(9, object("a", 8, "leaving")))
+	It("does not keep a draining server, even after an outage", func() {
+		s.applyServerList(at(0), listing(5, object("a", 1, "x")))
+		s.markUnreachable()
+		s.applyServerList(at(time.Second), listing(9, object("a", 8, "leaving")))
 		Expect(s.snapshot().Service("")).To(BeEmpty())
 	})
 
-	// A late event names a state of the server from before the last listing.
-	It("ignores an event older than what it knows", func() {
-		s.listed(at(0), listing(5, object("a", 4, "leaving")))
-		changed, _ := s.serverChanged(at(0), store.Event{Object: object("a", 3, "x")})
+	// Guards against a late event that restores the state of a server from before the
+	// last list.
+	It("ignores a stale event", func() {
+		s.applyServerList(at(0), listing(5, object("a", 4, "leaving")))
+		changed, _ := s.applyServerEvent(at(0), store.Event{Object: object("a", 3, "x")})
 		Expect(changed).To(BeFalse())
 		Expect(s.snapshot().Service("")).To(BeEmpty())
 	})
 
-	// Servers are replaced under new names, some each hour. What is kept of those
-	// that are gone grows until the process is out of memory; yet an event of
-	// theirs that another gateway tells late must not bring one back.
-	It("forgets servers that are gone, and takes no late event for a new server", func() {
+	// Guards against unbounded memory: servers are replaced under new names, some each
+	// hour. Yet a late event from another gateway must not restore a removed server.
+	It("forgets removed servers, and does not take a late event for a new server", func() {
 		for n := range int64(100) {
 			name := strconv.FormatInt(n, 10)
-			_, _ = s.serverChanged(at(0), store.Event{Object: object(name, 2*n+1, "x")})
-			_, _ = s.serverChanged(at(0), store.Event{Object: object(name, 2*n+2, "x"), Removed: true})
+			_, _ = s.applyServerEvent(at(0), store.Event{Object: object(name, 2*n+1, "x")})
+			_, _ = s.applyServerEvent(at(0), store.Event{Object: object(name, 2*n+2, "x"), Removed: true})
 		}
-		s.listed(at(0), listing(300, object("a", 250, "x")))
+		s.applyServerList(at(0), listing(300, object("a", 250, "x")))
 		Expect(s.revisions).To(HaveLen(1))
-		changed, _ := s.serverChanged(at(0), store.Event{Object: object("7", 15, "x")})
+		changed, _ := s.applyServerEvent(at(0), store.Event{Object: object("7", 15, "x")})
 		Expect(changed).To(BeFalse())
-		changed, _ = s.serverChanged(at(0), store.Event{Object: object("b", 301, "x")})
+		changed, _ = s.applyServerEvent(at(0), store.Event{Object: object("b", 301, "x")})
 		Expect(changed).To(BeTrue())
 		Expect(names()).To(ConsistOf("a", "b"))
 	})
 
-	It("uses no server whose entry became malformed, and the others", func() {
-		s.listed(at(0), listing(5, object("a", 1, "x"), object("b", 2, "y")))
-		changed, err := s.serverChanged(at(0), store.Event{Object: object("a", 6, "bad")})
+	It("drops only the server whose object became malformed", func() {
+		s.applyServerList(at(0), listing(5, object("a", 1, "x"), object("b", 2, "y")))
+		changed, err := s.applyServerEvent(at(0), store.Event{Object: object("a", 6, "bad")})
 		Expect(changed).To(BeTrue())
 		Expect(err).To(HaveOccurred())
 		Expect(names()).To(ConsistOf("b"))
 	})
 
-	// A gateway starts while the store is away. Its neighbours serve; it takes
-	// what they know, and the store's own word replaces that later.
-	It("takes what a neighbour knows only before it knows anything itself", func() {
+	// A gateway that starts during an outage of the store adopts the snapshot of a
+	// peer, which the store's first response replaces.
+	It("adopts a peer's snapshot only before it has a configuration", func() {
 		a := New(nil, plainDecoder{}, Kinds{Config: "config", ConfigName: "main", Servers: "servers"})
 		_, ok := a.Snapshot()
 		Expect(ok).To(BeFalse())
--- a/internal/directory/follow.go
+++ b/internal/directory/follow.go
@@ -13,52 +13,56 @@
 )
 
 const (
-	// watchWait is how long a watch waits for a change. A watch that hears nothing,
-	// for its connection went silent or the store keeps changes back, shows only
-	// when it does not return: this and the client's timeout are how late such a
-	// gateway hears of a change, which must be less than the two seconds that a
-	// configuration may take. Two of them are under coverFor too: a change at the
-	// end of one confirms its begin. Each watch is a call of the store, and calls
-	// are priced; few gateways watch at a time.
+	// watchWait is how long a watch waits for a change. A watch whose connection is
+	// dead, or from which the store withholds changes, is detected only by its
+	// failure to return. Such a gateway learns of a change up to watchWait plus the
+	// client's timeout late, which must be less than the two seconds that a
+	// configuration change may take. Twice watchWait is also less than
+	// confirmationMaxAge, since a change at the end of a watch only confirms its
+	// start. It is not shorter because each watch is a billed call of the store; few
+	// gateways watch at a time.
 	watchWait = 700 * time.Millisecond
-	// watchGrace is how long a watch may still take to bring a change that others have
-	// seen. They have it by a watch or list of their own, so that it is on its way.
-	watchGrace = 50 * time.Millisecond
-	// firstPause and longestPause bound the pause after a failed read. The
-	// longest stays well under the two seconds that a change may take.
-	firstPause   = 100 * time.Millisecond
-	longestPause = 600 * time.Millisecond
+	// announcedGrace is how long a watch may still take to return a change that other
+	// gateways have announced. They have it from a watch or list of their own, so that
+	// it is usually about to arrive.
+	announcedGrace = 50 * time.Millisecond
+	// minPause and maxPause bound the pause after a failed read. maxPause is well
+	// under the two seconds that a change may take.
+	minPause = 100 * time.Millisecond
+	maxPause = 600 * time.Millisecond
 )
 
-// follower is how one kind of objects is taken in. Its functions are called
-// with the lock held.
+// follower holds the callbacks and the state for following one kind of object. The
+// callbacks run with the Directory's lock held.
 type follower struct {
-	kind  string
-	list  func(now time.Time, l store.Listing)
-	event func(now time.Time, e store.Event)
-	// confirm is told of a time at which nothing was newer than what is known.
-	confirm func(at time.Time)
-	// sawAll, if set, is told of a revision up to which all changes are known.
-	sawAll func(at int64)
-	lost   func()
-	// lacks reports whether others know a newer change; wake asks to look.
-	lacks func() bool
-	wake  chan struct{}
+	kind    string
+	onList  func(now time.Time, l store.Listing)
+	onEvent func(now time.Time, e store.Event)
+	// onConfirm takes a time at which the store had nothing newer than the state.
+	onConfirm func(at time.Time)
+	// markSynced, if set, takes a revision up to which all changes are known.
+	markSynced func(revision int64)
+	onFailure  func()
+	// behind reports whether another gateway has announced a change that is not known
+	// here; wake signals that it may have become true.
+	behind func() bool
+	wake   chan struct{}
 	// retry ends the pause after a failed read.
 	retry chan struct{}
 
-	// at is the revision to watch from.
-	at int64
+	// revision is the store's revision to watch from.
+	revision int64
 
 	pauses pause.Backoff
-	down   bool
+	// down is set while reads fail, so that an outage is logged once.
+	down bool
 }
 
-// follow lists a kind, watches it, and lists again whenever a watch fails: what
-// a broken watch missed is then seen whatever the reason was. It lists too when
-// nobody confirms any more: then watches fail, or soon will.
+// follow lists a kind, watches it, and lists again whenever a watch fails, so that
+// changes that a broken watch missed are seen whatever the cause. It also lists when
+// confirmations of other gateways stop, since then watches fail or soon will.
 func (d *Directory) follow(ctx context.Context, f *follower) error {
-	f.pauses = pause.Backoff{Initial: firstPause, Max: longestPause}
+	f.pauses = pause.Backoff{Initial: minPause, Max: maxPause}
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	for ctx.Err() == nil {
 		err := d.listAndWatch(ctx, f)
@@ -66,61 +70,64 @@
 			break
 		}
 		if err == nil {
-			d.waitCovered(ctx, f)
+			d.waitWhileDelegated(ctx, f)
 			continue
 		}
 		if errors.Is(err, store.ErrCompacted) {
-			d.dropped.Inc(1)
-			log.WithField("kind", f.kind).WithField("from", f.at).Info("history dropped, listing")
+			d.compactions.Inc(1)
+			log.WithField("kind", f.kind).WithField("from", f.revision).Info("store history compacted, listing")
 		} else {
-			d.failed(f, err)
+			d.readFailed(f, err)
 		}
 		d.waitRetry(ctx, f, f.pauses.Next(random))
 	}
 	return ctx.Err()
 }
 
-// waitRetry waits after a failed read, for less if the store is known to answer again.
+// waitRetry waits after a failed read, up to longest or until the store is known to
+// respond again.
 func (d *Directory) waitRetry(ctx context.Context, f *follower, longest time.Duration) {
 	select {
 	case <-f.retry:
-		// From before the failure.
+		// Discard a signal from before the failure.
 	default:
 	}
 	pause.SleepOrSignal(ctx, longest, f.retry)
 }
 
-// storeAnswers ends the pauses of all kinds. Each would go on for up to longestPause
-// while requests are refused, though one kind, or another gateway, has the store back.
-func (d *Directory) storeAnswers() {
+// endRetryPauses ends the pauses of all kinds. Otherwise each would last up to maxPause
+// while requests are rejected, although a read of the other kind, or another gateway,
+// has shown that the store responds again.
+func (d *Directory) endRetryPauses() {
 	d.wake(d.configRetry)
 	d.wake(d.serversRetry)
 }
 
-// listAndWatch returns nil once other gateways' watches stand in for its own.
+// listAndWatch lists f once and then watches it. It returns nil once watching is
+// delegated to other gateways.
 func (d *Directory) listAndWatch(ctx context.Context, f *follower) error {
 	if err := d.list(ctx, f); err != nil {
 		return err
 	}
-	if !d.covered() {
-		log.WithField("kind", f.kind).WithField("from", f.at).Info("store watched by this gateway")
+	if !d.watchDelegated() {
+		log.WithField("kind", f.kind).WithField("from", f.revision).Info("watching the store")
 	}
-	for !d.covered() {
-		if err := d.watchUnlessTold(ctx, f); err != nil {
+	for !d.watchDelegated() {
+		if err := d.watchOrList(ctx, f); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// watchUnlessTold takes in what the next watch brings, or gives the watch up and
-// lists when other gateways name a change that it does not bring.
+// watchOrList applies the result of the next watch, or cancels the watch and lists
+// when other gateways announce a change that the watch does not return.
 //
-// A watch may hear nothing of a change that the store has confirmed: for one
-// thing, the store keeps changes back before it drops its history. A gateway that
-// waited for its end denied a new route for seconds, though all others served it
-// and had told it so.
-func (d *Directory) watchUnlessTold(ctx context.Context, f *follower) error {
+// A watch can miss a change that the store has confirmed, for example because the
+// store withholds changes before it compacts its history. A gateway that waited for
+// the end of the watch denied a new route for seconds, although all others served it
+// and had announced the change.
+func (d *Directory) watchOrList(ctx context.Context, f *follower) error {
 	watching, stop := context.WithCancel(ctx)
 	defer stop()
 	ended := make(chan error, 1)
@@ -131,12 +138,12 @@
 		case err := <-ended:
 			return err
 		case <-f.wake:
-			if graceOver == nil && d.lacks(f) {
-				graceOver = time.After(watchGrace)
+			if graceOver == nil && d.behind(f) {
+				graceOver = time.After(announcedGrace)
 			}
 		case <-graceOver:
 			graceOver = nil
-			if !d.lacks(f) {
+			if !d.behind(f) {
 				continue
 			}
 			stop()
@@ -146,37 +153,37 @@
 	}
 }
 
-// watch takes in the changes since the last list or watch.
+// watch applies the changes since the last list or watch.
 func (d *Directory) watch(ctx context.Context, f *follower) error {
 	sent := time.Now()
-	batch, err := d.store.Watch(ctx, f.kind, f.at, watchWait)
+	batch, err := d.store.Watch(ctx, f.kind, f.revision, watchWait)
 	if err != nil {
 		return err
 	}
 	f.pauses.Reset()
-	d.noteEarly(f, batch, time.Since(sent))
-	f.at = max(f.at, batch.Revision)
-	d.locked(func() { d.takeBatch(f, batch, watchedUntil(sent, time.Now(), batch)) })
+	d.logEarlyEnd(f, batch, time.Since(sent))
+	f.revision = max(f.revision, batch.Revision)
+	d.locked(func() { d.applyBatch(f, batch, confirmedUntil(sent, time.Now(), batch)) })
 	return nil
 }
 
-// noteEarly logs a watch that ended without changes before its time, which a store
-// that is well does not do.
-func (d *Directory) noteEarly(f *follower, b store.Batch, took time.Duration) {
+// logEarlyEnd logs a watch that returned without changes before watchWait, which a
+// healthy store does not do.
+func (d *Directory) logEarlyEnd(f *follower, b store.Batch, took time.Duration) {
 	if len(b.Events) > 0 || took >= watchWait {
 		return
 	}
-	d.early.Inc(1)
+	d.earlyEnds.Inc(1)
 	log.WithFields(log.Fields{
-		"kind": f.kind, "from": f.at, "at": b.Revision, "took_ms": took.Milliseconds(),
-	}).Info("watch ended early, without changes")
+		"kind": f.kind, "from": f.revision, "at": b.Revision, "took_ms": took.Milliseconds(),
+	}).Info("watch returned early without changes")
 }
 
-// watchedUntil is until when the answer of a watch certainly tells all changes.
-// An answer may have waited in its connection while this process stood still, so
-// that the time of its receipt says nothing: one with changes tells of the time
-// when it was asked, and one without of the end of its wait.
-func watchedUntil(sent, now time.Time, b store.Batch) time.Time {
+// confirmedUntil returns the time up to which the result of a watch is certain to
+// include all changes. The time of receipt proves nothing, since the response may have
+// been buffered while this process was suspended. A response with changes is complete
+// up to the time when the watch was sent, one without up to the end of its wait.
+func confirmedUntil(sent, now time.Time, b store.Batch) time.Time {
 	if len(b.Events) > 0 {
 		return sent
 	}
@@ -186,51 +193,51 @@
 	return now
 }
 
-// list takes in all objects of a kind.
+// list reads and applies all objects of a kind.
 func (d *Directory) list(ctx context.Context, f *follower) error {
 	sent := time.Now()
 	l, err := d.store.List(ctx, f.kind, store.Linearizable)
 	if err != nil {
 		return err
 	}
-	d.answered(f)
-	f.at = l.Revision
+	d.readSucceeded(f)
+	f.revision = l.Revision
 	d.locked(func() {
-		f.confirm(sent)
-		f.list(time.Now(), l)
+		f.onConfirm(sent)
+		f.onList(time.Now(), l)
 	})
 	return nil
 }
 
-func (d *Directory) takeBatch(f *follower, b store.Batch, until time.Time) {
+func (d *Directory) applyBatch(f *follower, b store.Batch, until time.Time) {
 	now := time.Now()
 	for _, e := range b.Events {
-		f.event(now, e)
+		f.onEvent(now, e)
 	}
-	if f.sawAll != nil {
-		f.sawAll(b.Revision)
+	if f.markSynced != nil {
+		f.markSynced(b.Revision)
 	}
-	f.confirm(until)
+	f.onConfirm(until)
 	d.publish(false)
 }
 
-func (d *Directory) answered(f *follower) {
-	d.storeLost.Store(false)
+func (d *Directory) readSucceeded(f *follower) {
+	d.storeUnreachable.Store(false)
 	if f.down {
 		f.down = false
-		log.WithField("kind", f.kind).Info("store regained")
-		d.storeAnswers()
+		log.WithField("kind", f.kind).Info("store reachable again")
+		d.endRetryPauses()
 	}
 }
 
-func (d *Directory) failed(f *follower, err error) {
-	d.storeLost.Store(true)
+func (d *Directory) readFailed(f *follower, err error) {
+	d.storeUnreachable.Store(true)
 	d.failures.Inc(1)
-	if f.lost != nil {
-		d.locked(f.lost)
+	if f.onFailure != nil {
+		d.locked(f.onFailure)
 	}
 	if !f.down {
 		f.down = true
-		log.WithField("kind", f.kind).WithField("error", err.Error()).Warn("store lost")
+		log.WithField("kind", f.kind).WithField("error", err.Error()).Warn("store unreachable")
 	}
 }
--- a/internal/directory/model_test.go
+++ b/internal/directory/model_test.go
@@ -15,35 +15,36 @@
 // modelStep is the time between two steps of the model.
 const modelStep = 400 * time.Millisecond
 
-// model is a store, one gateway that watches it and one that believes the first.
-// Answers and datagrams wait until a step lets them arrive, in any order.
+// model has a store, a gateway that watches it and one that follows the first one's
+// confirmations. Responses and confirmations are delivered by later steps, in any order.
 type model struct {
-	now     time.Duration
+	now time.Duration
+	// written is when each revision was stored.
 	written []time.Duration
 
-	watcher, covered *Directory
-	answers          []answer
-	datagrams        []datagram
+	watcher, follower *Directory
+	answers           []answer
+	confirmations     []sentConfirmation
 }
 
-// answer is an answer of the store to the gateway to that was asked at sent.
+// answer is the store's response to a list that the gateway to sent at sent.
 type answer struct {
-	to   *Directory
-	sent time.Duration
-	list store.Listing
+	to      *Directory
+	sent    time.Duration
+	listing store.Listing
 }
 
-// datagram is a confirmation that was sent at a time.
-type datagram struct {
-	sent time.Duration
-	told Confirmation
+// sentConfirmation is a confirmation in flight, sent at sent.
+type sentConfirmation struct {
+	sent         time.Duration
+	confirmation Confirmation
 }
 
 func newModel() *model {
 	kinds := Kinds{Config: "config", ConfigName: "main", Servers: "servers"}
 	m := &model{
-		watcher: New(nil, plainDecoder{}, kinds),
-		covered: New(nil, plainDecoder{}, kinds),
+		watcher:  New(nil, plainDecoder{}, kinds),
+		follower: New(nil, plainDecoder{}, kinds),
 	}
 	m.write()
 	return m
@@ -53,14 +54,14 @@
 
 func (m *model) write() { m.written = append(m.written, m.now) }
 
-// ask has the store answer a list of d; the answer is on its way.
-func (m *model) ask(d *Directory) {
+// startList makes d list the store; the response is in flight.
+func (m *model) startList(d *Directory) {
 	o := store.Object{Name: "main", Revision: m.revision(), Spec: json.RawMessage(strconv.FormatInt(m.revision(), 10))}
-	m.answers = append(m.answers, answer{to: d, sent: m.now, list: listing(m.revision(), o)})
+	m.answers = append(m.answers, answer{to: d, sent: m.now, listing: listing(m.revision(), o)})
 }
 
-// arrive lets an answer arrive: the first one or the last one.
-func (m *model) arrive(last bool) bool {
+// deliverAnswer delivers the first or the last response in flight.
+func (m *model) deliverAnswer(last bool) bool {
 	if len(m.answers) == 0 {
 		return false
 	}
@@ -69,29 +70,30 @@
 	a.to.locked(func() {
 		a.to.state.confirmConfig(at(a.sent))
 		a.to.state.confirmServers(at(a.sent))
-		a.to.configListed(at(m.now), a.list)
+		a.to.applyConfigList(at(m.now), a.listing)
 	})
 	return true
 }
 
-// tell has the watcher confirm.
-func (m *model) tell() bool {
+// sendConfirmation makes the watcher send a confirmation, if it has a recent one.
+func (m *model) sendConfirmation() bool {
 	c, ok := m.watcher.Confirmation(at(m.now))
 	if ok {
-		m.datagrams = append(m.datagrams, datagram{sent: m.now, told: c})
+		m.confirmations = append(m.confirmations, sentConfirmation{sent: m.now, confirmation: c})
 	}
 	return ok
 }
 
-// hear lets a datagram arrive. Its delay is known to the one that takes it in.
-func (m *model) hear(last bool) bool {
-	if len(m.datagrams) == 0 {
+// deliverConfirmation delivers the first or the last confirmation in flight. The
+// receiver knows its delay.
+func (m *model) deliverConfirmation(last bool) bool {
+	if len(m.confirmations) == 0 {
 		return false
 	}
-	var d datagram
-	m.datagrams, d = take(m.datagrams, last)
-	d.told.Age += m.now - d.sent
-	m.covered.RemoteConfirmation(at(m.now), d.told)
+	var c sentConfirmation
+	m.confirmations, c = take(m.confirmations, last)
+	c.confirmation.Age += m.now - c.sent
+	m.follower.RemoteConfirmation(at(m.now), c.confirmation)
 	return true
 }
 
@@ -104,22 +106,22 @@
 	return append(append([]T(nil), list[:n]...), list[n+1:]...), taken
 }
 
-// moves are what may happen in one step. One that cannot happen returns false.
+// moves are the possible steps. Each returns false if it is not possible now.
 var moves = []func(*model) bool{
 	func(m *model) bool { m.write(); return true },
-	func(m *model) bool { m.ask(m.watcher); return true },
-	func(m *model) bool { m.ask(m.covered); return true },
-	func(m *model) bool { return m.arrive(false) },
-	func(m *model) bool { return len(m.answers) > 1 && m.arrive(true) },
-	func(m *model) bool { return m.tell() },
-	func(m *model) bool { return m.hear(false) },
-	func(m *model) bool { return len(m.datagrams) > 1 && m.hear(true) },
+	func(m *model) bool { m.startList(m.watcher); return true },
+	func(m *model) bool { m.startList(m.follower); return true },
+	func(m *model) bool { return m.deliverAnswer(false) },
+	func(m *model) bool { return len(m.answers) > 1 && m.deliverAnswer(true) },
+	func(m *model) bool { return m.sendConfirmation() },
+	func(m *model) bool { return m.deliverConfirmation(false) },
+	func(m *model) bool { return len(m.confirmations) > 1 && m.deliverConfirmation(true) },
 }
 
-// holds checks what is promised of a gateway: it never goes back to an older
-// configuration, and it holds one for the newest at no time at which the store
-// had taken a newer one.
-func (m *model) holds(d *Directory, before int64) {
+// checkView checks the guarantees of a gateway: it never reverts to an older
+// configuration, and never counts one as confirmed at a time when the store already
+// had a newer one.
+func (m *model) checkView(d *Directory, before int64) {
 	v := d.View()
 	Expect(v.TableRevision).To(BeNumerically(">=", before), "went back")
 	if v.TableConfirmedAt.IsZero() || v.TableRevision >= m.revision() {
@@ -127,43 +129,43 @@
 	}
 	newer := at(m.written[v.TableRevision])
 	Expect(v.TableConfirmedAt.After(newer)).To(BeFalse(),
-		"revision %d is held for the newest at %v, a newer one was written at %v", v.TableRevision, v.TableConfirmedAt.Sub(start), newer.Sub(start))
+		"revision %d counts as the newest at %v, but a newer one was written at %v", v.TableRevision, v.TableConfirmedAt.Sub(start), newer.Sub(start))
 }
 
-// play makes the moves one after the other and reports whether all could be.
-func play(sequence []int) bool {
+// runSequence makes the moves in order and reports whether all were possible.
+func runSequence(sequence []int) bool {
 	m := newModel()
 	for _, n := range sequence {
 		m.now += modelStep
-		watcher, covered := m.watcher.View().TableRevision, m.covered.View().TableRevision
+		watcher, follower := m.watcher.View().TableRevision, m.follower.View().TableRevision
 		if !moves[n](m) {
 			return false
 		}
-		m.holds(m.watcher, watcher)
-		m.holds(m.covered, covered)
+		m.checkView(m.watcher, watcher)
+		m.checkView(m.follower, follower)
 	}
 	return true
 }
 
-// modelDepth is the length of all series of steps that are tried: enough for a
-// confirmation and an answer to be overtaken by two changes.
+// modelDepth is the length of the sequences that are tried exhaustively: enough for two
+// changes to overtake a confirmation and a response.
 const modelDepth = 8
 
-var _ = Describe("the configuration in force, in all orders of events", func() {
-	// The operator changes the configuration while answers of the store and
-	// confirmations of another gateway are on their way. A gateway that takes an
-	// older one for the newest denies routes that exist, or sends requests to
-	// services that they must not reach any more.
-	It("never goes back and is never held for newer than the store said", func() {
+var _ = Describe("the active configuration, in all orders of events", func() {
+	// Guards against a gateway that denies existing routes, or sends requests to services
+	// that they must not reach any more: it takes an older configuration for the newest
+	// when the operator changes it while responses of the store and confirmations of
+	// another gateway are in flight.
+	It("never goes back and is never confirmed for later than the store said", func() {
 		log.SetLevel(log.ErrorLevel)
 		DeferCleanup(log.SetLevel, log.InfoLevel)
-		played := 0
+		tried := 0
 		var extend func(sequence []int)
 		extend = func(sequence []int) {
-			if !play(sequence) {
+			if !runSequence(sequence) {
 				return
 			}
-			played++
+			tried++
 			if len(sequence) == modelDepth {
 				return
 			}
@@ -172,6 +174,6 @@
 			}
 		}
 		extend(nil)
-		Expect(played).To(BeNumerically(">", 100_000))
+		Expect(tried).To(BeNumerically(">", 100_000))
 	})
 })
--- a/internal/directory/relay.go
+++ b/internal/directory/relay.go
@@ -10,92 +10,94 @@
 )
 
 const (
-	// coverFor is how old another gateway's confirmation may be to stand in for
-	// a watch of one's own. A gateway that is covered by nobody any more lists
-	// at once, well within the two seconds that a change may take.
-	coverFor = 1500 * time.Millisecond
-	// catchUpWait is how long a covered gateway's watch for changes that others
-	// have seen waits: they are there. A list of a thousand servers is 300 KB, and
-	// takes a small VM a good part of a second.
+	// confirmationMaxAge is how old another gateway's confirmation may be to replace a
+	// watch of this gateway. A gateway without a recent confirmation lists immediately,
+	// well within the two seconds that a change may take.
+	confirmationMaxAge = 1500 * time.Millisecond
+	// catchUpWait is the wait of a watch that fetches changes announced by other
+	// gateways. They are in the store already. A list instead would be 300 KB for a
+	// thousand servers, and take a small VM a good part of a second.
 	catchUpWait = time.Millisecond
-	// catchUpTimeout bounds that watch. The store answers in milliseconds, or keeps
-	// the changes back; a list, which takes longer, tells them all the same.
+	// catchUpTimeout bounds that watch. The store responds in milliseconds, unless it
+	// withholds the changes; a list takes longer but includes them even then.
 	catchUpTimeout = 200 * time.Millisecond
-	// coverCheck is how often a covered gateway looks whether it still is.
-	coverCheck = 200 * time.Millisecond
+	// delegationCheckInterval is how often a gateway checks whether its watching is
+	// still delegated.
+	delegationCheckInterval = 200 * time.Millisecond
 )
 
-// Confirmation says which state of the store is known to be the newest.
+// Confirmation is an announcement that the store had no newer state than these
+// revisions.
 type Confirmation struct {
 	ConfigRevision int64
-	// ServersRevision is one after which no entry of a server has changed.
+	// ServersRevision is a revision after which no server object has changed.
 	ServersRevision int64
 	// Age is how long ago the store confirmed it.
 	Age time.Duration
 }
 
-// Confirmation returns what this gateway has seen by its own watches; false if
-// the store has not confirmed it lately.
+// Confirmation returns the state that this gateway's own watches have confirmed; false
+// if the last confirmation is too old.
 func (d *Directory) Confirmation(now time.Time) (Confirmation, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	at := d.state.watchedAt()
+	at := d.state.ownConfirmedAt()
 	c := Confirmation{
 		ConfigRevision:  d.state.view.TableRevision,
-		ServersRevision: d.state.serversChanged,
+		ServersRevision: d.state.serversLastChange,
 		Age:             now.Sub(at),
 	}
-	return c, !at.IsZero() && c.Age < coverFor
+	return c, !at.IsZero() && c.Age < confirmationMaxAge
 }
 
-// watchedAt is since when both kinds have been confirmed by own watches.
-func (s *state) watchedAt() time.Time {
-	if s.configWatched.Before(s.serversWatched) {
-		return s.configWatched
+// ownConfirmedAt returns when own reads last confirmed both kinds.
+func (s *state) ownConfirmedAt() time.Time {
+	if s.ownConfigConfirmedAt.Before(s.ownServersConfirmedAt) {
+		return s.ownConfigConfirmedAt
 	}
-	return s.serversWatched
+	return s.ownServersConfirmedAt
 }
 
-// Relayed takes in what another gateway's watches have confirmed.
+// RemoteConfirmation applies what the watches of another gateway have confirmed.
 //
-// Each watch is a call of the store, and calls are priced and bounded: with a
-// watch of each gateway they grow with the fleet. A few gateways watch; the
-// others believe them as long as a confirmation is fresh, and fetch what is
-// newer than they know.
+// Each watch is a call of the store, and calls are billed and rate-limited; if every
+// gateway watched, they would grow with the fleet. So a few gateways watch. The others
+// rely on them as long as their confirmations are recent, and fetch what is newer than
+// their own state.
 func (d *Directory) RemoteConfirmation(now time.Time, c Confirmation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := d.state
 	if c.ConfigRevision < s.view.TableRevision || c.ServersRevision < s.serversRevision {
-		// The sender is behind, for one thing because it was suspended and its
-		// clock with it: its age says nothing.
+		// The sender is behind. It may have been suspended, and its clock with it, so
+		// that the age in its confirmation cannot be trusted.
 		return
 	}
 	if c.ConfigRevision > s.view.TableRevision {
-		d.told(c)
+		d.noteAnnounced(c)
 		d.wake(d.configWake)
 	}
-	if c.ServersRevision > s.serversKnown {
-		s.serversWanted = c.ServersRevision
+	if c.ServersRevision > s.serversSynced {
+		s.serversAnnounced = c.ServersRevision
 		d.wake(d.serversWake)
 	}
 	at := now.Add(-c.Age)
-	if at.Sub(s.relayedAt) >= coverFor {
-		d.storeAnswers()
+	if at.Sub(s.remoteConfirmedAt) >= confirmationMaxAge {
+		d.endRetryPauses()
 	}
-	s.relayedAt = later(s.relayedAt, at)
+	s.remoteConfirmedAt = later(s.remoteConfirmedAt, at)
 	if c.ConfigRevision == s.view.TableRevision {
 		s.view.TableConfirmedAt = later(s.view.TableConfirmedAt, at)
 	}
-	if c.ServersRevision <= s.serversKnown {
-		s.changedAt(c.ServersRevision)
+	if c.ServersRevision <= s.serversSynced {
+		s.recordLastChange(c.ServersRevision)
 		s.view.ServersConfirmedAt = later(s.view.ServersConfirmedAt, at)
 	}
 	d.publish(false)
 }
 
-// told notes that another gateway knows a newer configuration.
-func (d *Directory) told(c Confirmation) {
+// noteAnnounced records that another gateway has announced a newer configuration.
+func (d *Directory) noteAnnounced(c Confirmation) {
 	v := &d.state.view
 	if c.ConfigRevision <= v.AnnouncedRevision {
 		return
@@ -103,26 +105,27 @@
 	v.AnnouncedRevision = c.ConfigRevision
 	log.WithFields(log.Fields{
 		"revision": v.TableRevision, "told": v.AnnouncedRevision, "told_age_ms": c.Age.Milliseconds(),
-	}).Info("another gateway knows a newer configuration")
+	}).Info("another gateway announced a newer configuration")
 }
 
-// Change is a change of an entry that a watch has seen.
+// ServerChange is a change of a server object that a watch has returned.
 type ServerChange struct {
 	store.Event
-	// After is a revision: between it and the event's there was no other change
-	// of an entry.
+	// PreviousRevision is the revision of the change before this one, or a later
+	// revision: between it and the event's revision no other server object changed.
 	PreviousRevision int64
 }
 
-// RelayedEntry takes in a change of an entry that another gateway has seen. If
-// one before it was lost, the next confirmation finds this gateway behind.
+// RemoteServerChange applies a change of a server object that another gateway has
+// relayed. If an earlier change was lost, the next confirmation reveals that this
+// gateway is behind.
 func (d *Directory) RemoteServerChange(now time.Time, c ServerChange) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.serverEvent(now, c.Event)
-	if c.PreviousRevision <= d.state.serversKnown {
-		d.state.sawAll(c.Object.Revision)
-		d.state.changedAt(c.Object.Revision)
+	d.applyServerEvent(now, c.Event)
+	if c.PreviousRevision <= d.state.serversSynced {
+		d.state.markServersSynced(c.Object.Revision)
+		d.state.recordLastChange(c.Object.Revision)
 	}
 }
 
@@ -133,26 +136,26 @@
 	}
 }
 
-// covered reports whether another gateway's watches stand in for this one's.
-func (d *Directory) covered() bool {
+// watchDelegated reports whether other gateways' watches replace those of this one.
+func (d *Directory) watchDelegated() bool {
 	if d.IsWatcher == nil || d.IsWatcher() {
 		return false
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return time.Since(d.state.relayedAt) < coverFor
+	return time.Since(d.state.remoteConfirmedAt) < confirmationMaxAge
 }
 
-// waitCovered waits while this gateway is covered, and catches up whenever
-// another gateway knows of a newer change.
-func (d *Directory) waitCovered(ctx context.Context, f *follower) {
-	tick := time.NewTicker(coverCheck)
+// waitWhileDelegated waits while watching is delegated, and catches up whenever another
+// gateway announces a newer change.
+func (d *Directory) waitWhileDelegated(ctx context.Context, f *follower) {
+	tick := time.NewTicker(delegationCheckInterval)
 	defer tick.Stop()
-	log.WithField("kind", f.kind).Info("store watched by other gateways")
-	// A covered gateway has no watches whose success would end the pauses of an
+	log.WithField("kind", f.kind).Info("relying on other gateways to watch the store")
+	// While watching is delegated, no successful watch would reset the backoff of an
 	// earlier outage.
 	f.pauses.Reset()
-	for d.covered() {
+	for d.watchDelegated() {
 		select {
 		case <-ctx.Done():
 			return
@@ -160,22 +163,22 @@
 			continue
 		case <-f.wake:
 		}
-		if !d.lacks(f) {
+		if !d.behind(f) {
 			continue
 		}
 		if err := d.catchUp(ctx, f); err != nil {
-			// Without these changes what is covered is not known here.
-			d.failed(f, err)
+			// Without these changes, the confirmations do not cover this state.
+			d.readFailed(f, err)
 			return
 		}
 	}
 }
 
-// lacks reports whether a change that others know is still not known here.
-func (d *Directory) lacks(f *follower) bool {
+// behind reports whether a change that another gateway has announced is missing here.
+func (d *Directory) behind(f *follower) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return f.lacks()
+	return f.behind()
 }
 
 // lastRevision returns the highest revision among changes.
@@ -187,25 +190,25 @@
 	return last
 }
 
-// catchUp takes in what others know and this gateway does not. It goes on from
-// the last change that it got and believes no watch that tells of none or hangs: a
-// store that is about to drop its history may keep changes back for a while, and a
-// gateway that took the revision of such an answer for known would never see
-// them. It lists then. A kind of few objects is listed at once.
+// catchUp fetches changes that other gateways have announced, by a watch from the last
+// change received. If the watch hangs or returns none, it lists: a store that is about
+// to compact its history may withhold changes for a while, and a gateway that accepted
+// the revision of such a response would never see them. A kind with few objects is
+// listed right away.
 func (d *Directory) catchUp(ctx context.Context, f *follower) error {
-	if f.sawAll == nil {
+	if f.markSynced == nil {
 		return d.list(ctx, f)
 	}
 	sent := time.Now()
 	watching, stop := context.WithTimeout(ctx, catchUpTimeout)
 	defer stop()
-	batch, err := d.store.Watch(watching, f.kind, f.at, catchUpWait)
+	batch, err := d.store.Watch(watching, f.kind, f.revision, catchUpWait)
 	if err != nil || len(batch.Events) == 0 {
-		log.WithError(err).WithField("kind", f.kind).WithField("from", f.at).Info("change not got by a watch, listing")
+		log.WithError(err).WithField("kind", f.kind).WithField("from", f.revision).Info("watch did not return the announced change, listing")
 		return d.list(ctx, f)
 	}
 	batch.Revision = lastRevision(batch.Events)
-	f.at = max(f.at, batch.Revision)
-	d.locked(func() { d.takeBatch(f, batch, sent) })
+	f.revision = max(f.revision, batch.Revision)
+	d.locked(func() { d.applyBatch(f, batch, sent) })
 	return nil
 }
--- a/internal/directory/relay_test.go
+++ b/internal/directory/relay_test.go
@@ -12,14 +12,14 @@
 	"pistachioroad.dev/pistachioroad/internal/store"
 )
 
-// counted is a store with one configuration, and the changes of servers, that
-// counts its reads.
-type counted struct {
+// countingStore is a store of one configuration and of changes of servers that counts
+// its reads.
+type countingStore struct {
 	store.Store
 	servers []store.Event
-	// muted has watches end without changes, hanging has them not end.
-	muted, hanging bool
-	// compacted answers each watch that its history is gone.
+	// withholding makes watches end without changes; hanging makes them hang.
+	withholding, hanging bool
+	// compacted makes each watch fail with ErrCompacted.
 	compacted bool
 	mu        sync.Mutex
 	revision  int64
@@ -27,18 +27,18 @@
 	watches   int
 }
 
-func (c *counted) List(_ context.Context, kind string, _ store.Freshness) (store.Listing, error) {
+func (c *countingStore) List(_ context.Context, kind string, _ store.Freshness) (store.Listing, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lists++
 	if kind != "config" {
-		return store.Listing{Objects: c.there(), Revision: c.revision}, nil
+		return store.Listing{Objects: c.present(), Revision: c.revision}, nil
 	}
 	return listing(c.revision, object("main", c.revision, "1")), nil
 }
 
-// there returns the entries of servers as they stand.
-func (c *counted) there() []store.Object {
+// present returns the server objects that exist now.
+func (c *countingStore) present() []store.Object {
 	last := map[string]store.Event{}
 	for _, e := range c.servers {
 		last[e.Object.Name] = e
@@ -52,8 +52,8 @@
 	return objects
 }
 
-// change adds a change of a server's entry.
-func (c *counted) change(name, spec string) store.Event {
+// change adds a change of a server object; an empty spec removes it.
+func (c *countingStore) change(name, spec string) store.Event {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.revision++
@@ -63,11 +63,11 @@
 }
 
 // since returns the changes of a kind after a revision.
-func (c *counted) since(kind string, after int64) store.Batch {
+func (c *countingStore) since(kind string, after int64) store.Batch {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	batch := store.Batch{Revision: c.revision}
-	if c.muted {
+	if c.withholding {
 		return batch
 	}
 	if kind == "config" && c.revision > after {
@@ -81,7 +81,7 @@
 	return batch
 }
 
-func (c *counted) Watch(ctx context.Context, kind string, after int64, _ time.Duration) (store.Batch, error) {
+func (c *countingStore) Watch(ctx context.Context, kind string, after int64, _ time.Duration) (store.Batch, error) {
 	c.mu.Lock()
 	c.watches++
 	compacted, hanging := c.compacted, c.hanging
@@ -104,32 +104,32 @@
 	}
 }
 
-func (c *counted) set(revision int64) {
+func (c *countingStore) setRevision(revision int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.revision = revision
 }
 
-func (c *counted) mute(muted bool) {
+func (c *countingStore) setWithholding(muted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.muted = muted
+	c.withholding = muted
 }
 
-func (c *counted) hang(hanging bool) {
+func (c *countingStore) setHanging(hanging bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.hanging = hanging
 }
 
-// compact drops the history for good.
-func (c *counted) compact() {
+// compact makes each later watch fail because the history is gone.
+func (c *countingStore) compact() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.compacted = true
 }
 
-func (c *counted) reads() (lists, watches int) {
+func (c *countingStore) reads() (lists, watches int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lists, c.watches
@@ -137,11 +137,11 @@
 
 var _ = Describe("a gateway that does not watch", func() {
 	var (
-		s *counted
+		s *countingStore
 		d *Directory
 	)
 	BeforeEach(func() {
-		s = &counted{revision: 5}
+		s = &countingStore{revision: 5}
 		d = New(s, plainDecoder{}, Kinds{Config: "config", ConfigName: "main", Servers: "servers"})
 		d.IsWatcher = func() bool { return false }
 		ctx, stop := context.WithCancel(context.Background())
@@ -150,7 +150,7 @@
 		Eventually(func() int64 { return d.View().TableRevision }).Should(BeEquivalentTo(5))
 	})
 
-	It("makes no calls while others confirm what it knows, and fetches what is newer", func() {
+	It("makes no calls while others confirm its state, and fetches what is newer", func() {
 		d.RemoteConfirmation(time.Now(), Confirmation{ConfigRevision: 5})
 		time.Sleep(60 * time.Millisecond)
 		lists, watches := s.reads()
@@ -158,42 +158,41 @@
 		listsAfter, watchesAfter := s.reads()
 		Expect(listsAfter).To(Equal(lists))
 		Expect(watchesAfter).To(Equal(watches))
-		s.set(9)
+		s.setRevision(9)
 		d.RemoteConfirmation(time.Now(), Confirmation{ConfigRevision: 9})
 		Eventually(func() int64 { return d.View().TableRevision }).Should(BeEquivalentTo(9))
 	})
 
-	// The store is about to drop its history: watches hang, without the change
-	// that was made. The gateways that watch for others give theirs up; the others
-	// hear nothing meanwhile and look for themselves. Were that by a watch, they
-	// would hang too, for four seconds, with the old configuration.
-	It("lists once nobody confirms any more, and does not watch first", func() {
-		s.hang(true)
-		s.set(9)
-		d.RemoteConfirmation(time.Now().Add(-coverFor+100*time.Millisecond), Confirmation{ConfigRevision: 5})
+	// Guards against four seconds with the old configuration: the store is about to
+	// compact its history, so that watches hang and the confirmations stop. A gateway
+	// that then read the store by a watch would hang too.
+	It("lists once confirmations stop, and does not watch first", func() {
+		s.setHanging(true)
+		s.setRevision(9)
+		d.RemoteConfirmation(time.Now().Add(-confirmationMaxAge+100*time.Millisecond), Confirmation{ConfigRevision: 5})
 		Eventually(func() int64 { return d.View().TableRevision }).WithTimeout(2 * time.Second).Should(BeEquivalentTo(9))
 	})
 
-	// All gateways that watch are cut off from the store at once. The others
-	// hear no fresh confirmation any more and must see the next change
-	// themselves, within the time that a configuration may take.
-	It("watches by itself once nobody confirms any more", func() {
-		d.RemoteConfirmation(time.Now().Add(-coverFor+100*time.Millisecond), Confirmation{ConfigRevision: 5})
-		s.set(9)
+	// Guards against a missed change when all watching gateways lose the store at the
+	// same time: without recent confirmations, the others must see the next change
+	// themselves, within the time that a configuration change may take.
+	It("watches by itself once confirmations stop", func() {
+		d.RemoteConfirmation(time.Now().Add(-confirmationMaxAge+100*time.Millisecond), Confirmation{ConfigRevision: 5})
+		s.setRevision(9)
 		Eventually(func() int64 { return d.View().TableRevision }).WithTimeout(2 * time.Second).Should(BeEquivalentTo(9))
 	})
 
-	// A gateway that watches was suspended, and its clock with it. It wakes and
-	// confirms as fresh what is long out of date.
-	It("does not believe a confirmation of less than it knows", func() {
+	// Guards against a gateway that was suspended, and its clock with it: when it resumes,
+	// it confirms as recent a state that is long out of date.
+	It("ignores a confirmation of an older state than its own", func() {
 		d.RemoteConfirmation(time.Now(), Confirmation{ConfigRevision: 4})
-		Expect(d.covered()).To(BeFalse())
+		Expect(d.watchDelegated()).To(BeFalse())
 	})
 })
 
-var _ = Describe("a gateway that hears of servers from others", func() {
+var _ = Describe("a gateway that follows the servers through others", func() {
 	var (
-		s *counted
+		s *countingStore
 		d *Directory
 	)
 	confirm := func(revision int64) {
@@ -207,20 +206,20 @@
 		go func() { _ = d.FollowServers(ctx) }()
 		Eventually(func() time.Time { return d.View().ServersConfirmedAt }).ShouldNot(BeZero())
 	}
-	// settle confirms a revision and waits until the gateway relies on that.
+	// settle confirms a revision and waits until the gateway relies on it.
 	settle := func(revision int64) {
 		confirm(revision)
-		Eventually(d.covered).Should(BeTrue())
+		Eventually(d.watchDelegated).Should(BeTrue())
 		time.Sleep(50 * time.Millisecond)
 	}
 	reads := func() int { lists, watches := s.reads(); return lists + watches }
 
-	// A server left, and then a gateway starts. Its list has no trace of the
-	// removal, which the others name as the newest change. Taken for a change
-	// that it lacks, each confirmation has it read everything once more: a
-	// thousand entries some ten times a second.
-	It("does not look for a removal that its list has seen", func() {
-		s = &counted{revision: 5}
+	// Guards against a list of a thousand servers some ten times a second: a gateway
+	// starts after a server was removed, which leaves no trace in its list. Others
+	// announce the removal as the newest change, and each confirmation would make the
+	// gateway look for it.
+	It("does not look for a removal that precedes its list", func() {
+		s = &countingStore{revision: 5}
 		s.change("a", "x")
 		removed := s.change("a", "")
 		follow()
@@ -233,45 +232,45 @@
 		Expect(reads()).To(Equal(before))
 	})
 
-	// The datagram that says that a server leaves is lost, and one about another
-	// server arrives. By its revision the gateway seems to know everything, and
-	// goes on to send requests to the server that leaves.
-	It("notices a change that was lost, and reads what it lacks only", func() {
-		s = &counted{revision: 5}
+	// Guards against requests to a draining server: the datagram about it is lost, and a
+	// later one about another server arrives, whose revision makes the gateway look up to
+	// date.
+	It("detects a lost change, and reads only what is missing", func() {
+		s = &countingStore{revision: 5}
 		s.change("a", "x")
 		s.change("b", "x")
 		follow()
 		confirm(7)
-		Eventually(d.covered).Should(BeTrue())
+		Eventually(d.watchDelegated).Should(BeTrue())
 		lost := s.change("a", "leaving")
-		heard := s.change("b", "y")
+		received := s.change("b", "y")
 		lists, _ := s.reads()
-		d.RemoteServerChange(time.Now(), ServerChange{Event: heard, PreviousRevision: lost.Object.Revision})
-		confirm(heard.Object.Revision)
+		d.RemoteServerChange(time.Now(), ServerChange{Event: received, PreviousRevision: lost.Object.Revision})
+		confirm(received.Object.Revision)
 		Eventually(func() bool { return d.View().Servers["a"].Draining }).Should(BeTrue())
 		after, _ := s.reads()
 		Expect(after).To(Equal(lists))
 	})
 
-	// The store is about to drop its history and keeps changes back for a second:
-	// watches end without them. A gateway that believes such an answer goes on
-	// from a later revision and sends requests to a server that has left.
-	It("believes no watch that keeps changes back", func() {
-		s = &counted{revision: 5}
+	// Guards against requests to a draining server: the store is about to compact its
+	// history and withholds changes for a second, so that watches end without them. A
+	// gateway that trusted such a response would continue from a later revision.
+	It("does not trust a watch that withholds an announced change", func() {
+		s = &countingStore{revision: 5}
 		s.change("a", "x")
 		follow()
 		settle(6)
-		s.mute(true)
+		s.setWithholding(true)
 		lost := s.change("a", "leaving")
 		confirm(lost.Object.Revision)
 		Eventually(func() bool { return d.View().Servers["a"].Draining }).Should(BeTrue())
 	})
 
-	// The store drops its history, and a server has left meanwhile. That is no
-	// outage: taken for one, servers that are missing from the list would be
-	// believed to live for two more seconds, and get requests.
-	It("drops a server that left while the history was dropped", func() {
-		s = &counted{revision: 5}
+	// Guards against requests to a removed server for two more seconds: a compacted
+	// history must not be mistaken for an outage, after which servers that are missing
+	// from the list are kept for a grace period.
+	It("drops a server that was removed while the history was compacted", func() {
+		s = &countingStore{revision: 5}
 		s.change("a", "x")
 		s.change("b", "x")
 		follow()
@@ -282,11 +281,10 @@
 		Eventually(func() int { return len(d.View().Servers) }).Should(Equal(1))
 	})
 
-	// A deployment of a thousand servers starts, and each of them is a change.
-	// With a copy of all servers for each, small VMs are busy for seconds while
-	// callers come and the configuration changes.
+	// Guards against small VMs that are busy for seconds when a deployment of a thousand
+	// servers starts: each server is a change, and each View copies all servers.
 	It("publishes many changes together, and the last one soon", func() {
-		s = &counted{revision: 5}
+		s = &countingStore{revision: 5}
 		s.change("a", "x")
 		follow()
 		published, began := 0, time.Now()
@@ -296,12 +294,12 @@
 			d.RemoteServerChange(time.Now(), ServerChange{Event: e, PreviousRevision: e.Object.Revision - 1})
 		}
 		Eventually(func() int { return len(d.View().Servers) }).Should(Equal(501))
-		most := int(time.Since(began)/publishEvery) + 2
-		d.locked(func() { Expect(published).To(BeNumerically("<=", most)) })
+		limit := int(time.Since(began)/publishInterval) + 2
+		d.locked(func() { Expect(published).To(BeNumerically("<=", limit)) })
 	})
 
 	It("reads nothing while no change is lost", func() {
-		s = &counted{revision: 5}
+		s = &countingStore{revision: 5}
 		first := s.change("a", "x")
 		follow()
 		settle(first.Object.Revision)
@@ -316,8 +314,8 @@
 })
 
 var _ = Describe("a gateway that watches", func() {
-	It("is never covered, and confirms only what it has read lately", func() {
-		s := &counted{revision: 5}
+	It("never delegates, and confirms only what it has read recently", func() {
+		s := &countingStore{revision: 5}
 		d := New(s, plainDecoder{}, Kinds{Config: "config", ConfigName: "main", Servers: "servers"})
 		d.IsWatcher = func() bool { return true }
 		_, ok := d.Confirmation(time.Now())
@@ -328,18 +326,18 @@
 		go func() { _ = d.FollowServers(ctx) }()
 		Eventually(func() bool { _, ok := d.Confirmation(time.Now()); return ok }).Should(BeTrue())
 		d.RemoteConfirmation(time.Now(), Confirmation{ConfigRevision: 5})
-		Expect(d.covered()).To(BeFalse())
-		_, ok = d.Confirmation(time.Now().Add(coverFor + time.Second))
+		Expect(d.watchDelegated()).To(BeFalse())
+		_, ok = d.Confirmation(time.Now().Add(confirmationMaxAge + time.Second))
 		Expect(ok).To(BeFalse())
 	})
 })
 
-var _ = Describe("a gateway whose history is dropped again and again", func() {
-	// The store keeps no history for a while. Each watch is refused at once and
-	// followed by a list; without a pause one gateway uses up the call rate of
-	// all, and the others learn nothing.
+var _ = Describe("a gateway whose watches find the history compacted", func() {
+	// Guards against one gateway that uses up the call rate of all, so that the others
+	// learn of no change: the store keeps no history for a while, each watch fails
+	// immediately and is followed by a list.
 	It("pauses between its lists", func() {
-		s := &counted{revision: 5, compacted: true}
+		s := &countingStore{revision: 5, compacted: true}
 		d := New(s, plainDecoder{}, Kinds{Config: "config", ConfigName: "main", Servers: "servers"})
 		ctx, stop := context.WithCancel(context.Background())
 		DeferCleanup(stop)
--- a/internal/directory/snapshot.go
+++ b/internal/directory/snapshot.go
@@ -8,13 +8,13 @@
 	"pistachioroad.dev/pistachioroad/internal/store"
 )
 
-// Snapshot is what a process has read from the store, as it stood there.
+// Snapshot holds the objects that a process has read from the store, unchanged.
 type Snapshot struct {
 	Config  store.Object   `json:"config"`
 	Servers []store.Object `json:"servers"`
 }
 
-// Snapshot returns what is known now; false before the first configuration.
+// Snapshot returns the latest objects; false before the first configuration.
 func (d *Directory) Snapshot() (Snapshot, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -25,24 +25,24 @@
 	return snapshot, d.state.view.Table != nil
 }
 
-// Adopt takes in what another gateway knows, if nothing is known here yet.
+// Adopt applies the snapshot of another gateway if this one has no configuration yet.
 //
-// A process that starts while the store is away would refuse every caller until
-// the store is back, though its neighbours serve. What it adopts is not
-// confirmed: it does not deny a route by it, and the store's first answer
-// replaces it, for revisions only go forward.
+// Without it, a process that starts during an outage of the store would reject every
+// caller until the outage ends, although its peers serve. An adopted snapshot counts
+// as unconfirmed: no route is denied because of it, and the store's first response
+// replaces it, since revisions only go forward.
 func (d *Directory) Adopt(now time.Time, s Snapshot) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.state.view.Table != nil {
 		return
 	}
-	d.takeConfig(s.Config)
+	d.applyConfig(s.Config)
 	for _, o := range s.Servers {
-		if _, err := d.state.serverChanged(now, store.Event{Object: o}); err != nil {
-			log.WithField("error", err.Error()).Warn("entry names no server")
+		if _, err := d.state.applyServerEvent(now, store.Event{Object: o}); err != nil {
+			log.WithField("error", err.Error()).Warn("server object is not valid")
 		}
 	}
-	log.WithFields(log.Fields{"revision": s.Config.Revision, "servers": len(s.Servers)}).Info("knowledge of another gateway adopted")
+	log.WithFields(log.Fields{"revision": s.Config.Revision, "servers": len(s.Servers)}).Info("snapshot of another gateway adopted")
 	d.publish(true)
 }
--- a/internal/directory/state.go
+++ b/internal/directory/state.go
@@ -9,10 +9,10 @@
 	"pistachioroad.dev/pistachioroad/internal/store"
 )
 
-// absentGrace is how long a server that is missing after an outage of the store
-// is still used. Entries lapse while the store is away, because servers cannot
-// renew them, and live servers are back within two seconds of its return; to
-// drop them at once would leave a service without servers.
+// absentGrace is how long a server that is missing after an outage of the store is
+// still used. Server objects expire during an outage, because servers cannot renew
+// them, and live servers register again within two seconds of its end. Dropping them
+// immediately would leave a service without servers.
 const absentGrace = 2 * time.Second
 
 // Decoder decodes the objects of the store.
@@ -21,39 +21,41 @@
 	Server(store.Object) (backend.Server, error)
 }
 
-// state holds what was read so far. Its methods are for one goroutine at a time.
+// state holds what has been read so far. It is not safe for concurrent use.
 type state struct {
 	decoder Decoder
 	view    View
-	// revisions are those of the servers' entries, removed ones included: an
-	// older event of a removed entry must not bring its server back.
+	// revisions has the latest revision of each server object, including removed
+	// ones: an older event of a removed object must not restore its server.
 	revisions map[string]int64
-	// listedAt is the store's revision at the last list. What is not in that
-	// list is older news, so that revisions can forget it.
-	listedAt int64
-	// absentAt is when a server was found missing after an outage.
+	// listedRevision is the store's revision at the last list. Events up to it about
+	// objects that were not listed are stale, so that revisions need not keep those.
+	listedRevision int64
+	// absentAt is when each server was found missing after an outage.
 	absentAt map[string]time.Time
-	// outage is set while the store cannot be read, and returnedAt is when it
-	// could be read again.
-	outage     bool
-	returnedAt time.Time
-	// configObject and serverObjects are the objects as they stood in the store,
-	// for gateways that cannot reach it.
+	// outage is set while the store cannot be read; recoveredAt is when it could
+	// be read again.
+	outage      bool
+	recoveredAt time.Time
+	// configObject and serverObjects are the objects as read from the store, for
+	// gateways that cannot reach it.
 	configObject  store.Object
 	serverObjects map[string]store.Object
-	// serversRevision is the highest revision of an entry seen.
+	// serversRevision is the highest revision of a server object seen.
 	serversRevision int64
-	// serversKnown is the store's revision up to which all changes of entries
-	// are known, and serversChanged one after which there was none up to there.
-	serversKnown, serversChanged int64
-	// serversWanted is the newest revision of entries that others knew.
-	serversWanted int64
-	// configWatched and serversWatched are when own reads last confirmed each.
-	configWatched, serversWatched time.Time
-	// relayedAt is when the store last confirmed, to another gateway, what is
-	// known here.
-	relayedAt time.Time
-	// malformed are the entries that name no server, to log each once.
+	// serversSynced is the store's revision up to which all changes of server objects
+	// are known. Between serversLastChange and serversSynced there was no change.
+	serversSynced, serversLastChange int64
+	// serversAnnounced is the newest revision of a server object that another gateway
+	// has announced.
+	serversAnnounced int64
+	// ownConfigConfirmedAt and ownServersConfirmedAt are when this gateway's own reads
+	// last confirmed each.
+	ownConfigConfirmedAt, ownServersConfirmedAt time.Time
+	// remoteConfirmedAt is when the store last confirmed this state to another gateway.
+	remoteConfirmedAt time.Time
+	// malformed has the revisions of the server objects that cannot be decoded, to log
+	// each once.
 	malformed map[string]int64
 }
 
@@ -69,8 +71,8 @@
 	}
 }
 
-// config takes in the configuration object. It reports whether it changed.
-func (s *state) config(o store.Object) (bool, error) {
+// applyConfig applies the configuration object and reports whether it is newer.
+func (s *state) applyConfig(o store.Object) (bool, error) {
 	if o.Revision <= s.view.TableRevision {
 		return false, nil
 	}
@@ -84,10 +86,10 @@
 	return true, nil
 }
 
-// confirmConfig notes that the store had no newer configuration at a time.
+// confirmConfig records that the store had no newer configuration at the given time.
 func (s *state) confirmConfig(at time.Time) {
 	s.view.TableConfirmedAt = later(s.view.TableConfirmedAt, at)
-	s.configWatched = later(s.configWatched, at)
+	s.ownConfigConfirmedAt = later(s.ownConfigConfirmedAt, at)
 }
 
 func later(a, b time.Time) time.Time {
@@ -97,41 +99,44 @@
 	return b
 }
 
-// serverChanged takes in one event. It reports whether the servers changed.
-func (s *state) serverChanged(now time.Time, e store.Event) (bool, error) {
+// applyServerEvent applies one event and reports whether the servers changed.
+func (s *state) applyServerEvent(now time.Time, e store.Event) (bool, error) {
 	name := e.Object.Name
-	if s.isOld(e.Object) {
+	if s.isStale(e.Object) {
 		return false, nil
 	}
-	s.sawServer(e.Object)
+	s.recordRevision(e.Object)
 	if e.Removed {
-		return s.removed(now, name), nil
+		return s.removeServer(now, name), nil
 	}
 	return s.upsert(e.Object)
 }
 
-// isOld reports whether the entry has changed since, or was gone at the last
+// isStale reports whether the object has changed since, or was missing from a later
 // list.
-func (s *state) isOld(o store.Object) bool {
+func (s *state) isStale(o store.Object) bool {
 	known, ok := s.revisions[o.Name]
 	if !ok {
-		return o.Revision <= s.listedAt
+		return o.Revision <= s.listedRevision
 	}
 	return o.Revision < known
 }
 
-func (s *state) sawServer(o store.Object) {
+func (s *state) recordRevision(o store.Object) {
 	s.revisions[o.Name] = max(s.revisions[o.Name], o.Revision)
 	s.serversRevision = max(s.serversRevision, o.Revision)
 }
 
-// sawAll notes that all changes of entries up to a revision of the store are
-// known.
-func (s *state) sawAll(at int64) { s.serversKnown = max(s.serversKnown, at) }
+// markServersSynced records that all changes of server objects up to a revision of
+// the store are known.
+func (s *state) markServersSynced(revision int64) {
+	s.serversSynced = max(s.serversSynced, revision)
+}
 
-// changedAt notes the revision of a change of entries, or one after all of them.
-func (s *state) changedAt(revision int64) {
-	s.serversChanged = max(s.serversChanged, revision)
+// recordLastChange records a revision after which no change of a server object is
+// known.
+func (s *state) recordLastChange(revision int64) {
+	s.serversLastChange = max(s.serversLastChange, revision)
 }
 
 func (s *state) upsert(o store.Object) (bool, error) {
@@ -153,9 +158,9 @@
 	return changed, nil
 }
 
-// removed drops a server whose entry is gone, or gives it absentGrace if the
-// store was away just before.
-func (s *state) removed(now time.Time, name string) bool {
+// removeServer drops a server whose object is gone, or keeps it for absentGrace if an
+// outage of the store has just ended. It reports whether it was dropped.
+func (s *state) removeServer(now time.Time, name string) bool {
 	if _, ok := s.view.Servers[name]; !ok {
 		return false
 	}
@@ -176,26 +181,27 @@
 }
 
 func (s *state) graceUntil() time.Time {
-	if s.returnedAt.IsZero() {
+	if s.recoveredAt.IsZero() {
 		return time.Time{}
 	}
-	return s.returnedAt.Add(absentGrace)
+	return s.recoveredAt.Add(absentGrace)
 }
 
-// listed takes in all entries of servers. It reports whether they changed.
-func (s *state) listed(now time.Time, l store.Listing) (changed bool, errs []error) {
+// applyServerList applies a list of all server objects. It reports whether the servers
+// changed, and returns the errors of objects that cannot be decoded.
+func (s *state) applyServerList(now time.Time, l store.Listing) (changed bool, errs []error) {
 	if s.outage {
 		s.outage = false
-		s.returnedAt = now
+		s.recoveredAt = now
 	}
-	first, gone := s.serversKnown == 0, false
-	there := make(map[string]bool, len(l.Objects))
+	first, gone := s.serversSynced == 0, false
+	present := make(map[string]bool, len(l.Objects))
 	for _, o := range l.Objects {
-		there[o.Name] = true
+		present[o.Name] = true
 		if o.Revision < s.revisions[o.Name] {
 			continue
 		}
-		s.sawServer(o)
+		s.recordRevision(o)
 		c, err := s.upsert(o)
 		changed = changed || c
 		if err != nil {
@@ -203,44 +209,44 @@
 		}
 	}
 	for name := range s.view.Servers {
-		if !there[name] {
+		if !present[name] {
 			gone = true
-			changed = s.removed(now, name) || changed
+			changed = s.removeServer(now, name) || changed
 		}
 	}
-	s.changedAt(s.serversRevision)
+	s.recordLastChange(s.serversRevision)
 	if first || gone {
-		// A removal before the list shows in no entry.
-		s.changedAt(l.Revision)
+		// A removal before the list leaves no trace in the objects listed.
+		s.recordLastChange(l.Revision)
 	}
-	s.sawAll(l.Revision)
-	s.forget(l.Revision, there)
+	s.markServersSynced(l.Revision)
+	s.pruneRevisions(l.Revision, present)
 	return changed, errs
 }
 
-// forget drops what is known of entries that were gone at a list. Servers come
-// and go under new names for as long as the process runs.
-func (s *state) forget(listedAt int64, there map[string]bool) {
-	if listedAt < s.listedAt {
+// pruneRevisions drops what is known of objects that were missing from a list. Servers
+// come and go under new names, so that the maps would grow without bound.
+func (s *state) pruneRevisions(listedRevision int64, present map[string]bool) {
+	if listedRevision < s.listedRevision {
 		return
 	}
-	s.listedAt = listedAt
-	gone := func(name string, revision int64) bool { return !there[name] && revision <= listedAt }
+	s.listedRevision = listedRevision
+	gone := func(name string, revision int64) bool { return !present[name] && revision <= listedRevision }
 	maps.DeleteFunc(s.revisions, gone)
 	maps.DeleteFunc(s.malformed, gone)
 }
 
-// confirmServers notes that the store had no newer entries at a time than those
-// seen.
+// confirmServers records that the store had no newer server objects at the given time.
 func (s *state) confirmServers(at time.Time) {
 	s.view.ServersConfirmedAt = later(s.view.ServersConfirmedAt, at)
-	s.serversWatched = later(s.serversWatched, at)
+	s.ownServersConfirmedAt = later(s.ownServersConfirmedAt, at)
 }
 
-// lost notes that the store cannot be read.
-func (s *state) lost() { s.outage = true }
+// markUnreachable records that the store cannot be read.
+func (s *state) markUnreachable() { s.outage = true }
 
-// expire drops the servers whose grace is over. It reports whether any was.
+// expire drops the servers that are still missing at the end of the grace period. It
+// reports whether there were any.
 func (s *state) expire(now time.Time) bool {
 	changed := false
 	if s.graceUntil().After(now) {
@@ -255,14 +261,15 @@
 	return changed
 }
 
-// retimed returns the state as a View with the servers of an earlier one.
-func (s *state) retimed(before *View) *View {
+// snapshotWithServersOf returns the state as a View that shares the servers of an
+// earlier View.
+func (s *state) snapshotWithServersOf(before *View) *View {
 	v := s.view
 	v.Servers, v.byService = before.Servers, before.byService
 	return &v
 }
 
-// snapshot returns a View of its own.
+// snapshot returns the state as a View with its own copy of the servers.
 func (s *state) snapshot() *View {
 	v := s.view
 	v.Servers = maps.Clone(s.view.Servers)
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -1,9 +1,9 @@
-// Package directory follows the store: the operator's configuration and the
-// entries of backend servers.
+// Package directory follows the operator's configuration and the objects of
+// backend servers in the store.
 //
 // What it publishes only moves forward: an object of a lower revision than one
-// already seen is dropped, so neither a stale read nor a late answer can take a
-// process back to an older configuration.
+// already seen is dropped, so that neither a stale read nor a late response can
+// revert a process to an older configuration.
 package directory
 
 import (
@@ -13,19 +13,19 @@
 	"pistachioroad.dev/pistachioroad/internal/routes"
 )
 
-// View is what a process knows at one moment. It is immutable.
+// View is an immutable snapshot of the configuration and the servers.
 type View struct {
 	// Table is nil before the first configuration was read.
 	Table *routes.Table
-	// TableRevision is the store's revision of Table.
+	// TableRevision is the store's revision of the object that Table was decoded from.
 	TableRevision int64
-	// TableTold is the newest revision of Table that another gateway has named. If
-	// it is higher than TableRevision, Table is out of date.
+	// AnnouncedRevision is the newest revision of Table that another gateway has
+	// announced. If it is higher than TableRevision, Table is out of date.
 	AnnouncedRevision int64
-	// TableAt and ServersAt are when the store last confirmed each, by the
-	// steady clock.
+	// TableConfirmedAt and ServersConfirmedAt are when the store last confirmed that
+	// each was the newest, by the monotonic clock.
 	TableConfirmedAt, ServersConfirmedAt time.Time
-	// Servers are all entries that name a server, by id.
+	// Servers are all servers with a valid object, by id.
 	Servers map[string]backend.Server
 
 	byService map[string][]backend.Server
@@ -37,13 +37,13 @@
 // OutOfDate reports whether a newer configuration than Table is known to exist.
 func (v *View) OutOfDate() bool { return v.AnnouncedRevision > v.TableRevision }
 
-// Current reports whether all configurations are known that the store confirmed
-// longer than within before now.
+// Current reports whether no configuration that was stored longer than within ago
+// can be missing.
 func (v *View) Current(now time.Time, within time.Duration) bool {
 	return !v.OutOfDate() && now.Sub(v.TableConfirmedAt) <= within
 }
 
-// index groups the servers that are not leaving.
+// index groups the servers that are not draining by service.
 func (v *View) index() {
 	v.byService = make(map[string][]backend.Server)
 	for _, s := range v.Servers {
--- a/internal/link/coalesce.go
+++ b/internal/link/coalesce.go
@@ -12,23 +12,23 @@
 	lengthAt   = 8
 	typeData   = 0
 
-	// coalescedSize is the largest frame, in bytes, that is copied into one
-	// write. Tokens are far below; for large bodies the second write is cheap.
+	// coalescedSize is the maximum size in bytes of a frame written by a single call.
+	// Tokens are far below it; for large bodies the cost of a second write is small.
 	coalescedSize = 4 << 10
 )
 
 // coalescedConn writes the header of a frame together with its body.
 //
-// yamux writes the two one after the other. For a token of a few bytes that is
-// two system calls, two packets and two wake-ups of the other end; one notices
-// by the processor time of a token and by the latency that each hop adds.
+// yamux writes them separately. For a token of a few bytes, that takes two system calls,
+// two packets and two wake-ups of the receiver, which adds to the CPU time of each token
+// and to the latency of each hop.
 //
-// The bytes and their order stay the same. Only yamux's send loop writes, so
-// nothing here is shared.
+// The bytes and their order are unchanged. Only yamux's send loop writes, so that no
+// locking is needed.
 type coalescedConn struct {
 	net.Conn
 	buffer [coalescedSize]byte
-	// held is how many bytes of buffer wait for the body.
+	// held is the number of header bytes in buffer that wait for the body.
 	held int
 }
 
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,8 +1,8 @@
-// Package link carries streams between two of the project's own processes over
-// one TCP connection.
+// Package link multiplexes streams between an entry and a sidecar, or between two
+// entries, over one TCP connection.
 //
-// Liveness is the business of the control stream: its heartbeats run through
-// the same queue as the work, so that they stop when the work would.
+// Liveness is checked by heartbeats on the control stream. They pass through the same
+// queue as the requests, so that they stop when the requests would.
 package link
 
 import (
@@ -21,16 +21,16 @@
 const (
 	// HeartbeatInterval is how often both ends of a link send a heartbeat.
 	HeartbeatInterval = time.Second
-	// SilentAfter is how long a link may stay without a frame before the entry
-	// opens a second connection beside it: two heartbeats missed.
+	// SilenceTimeout is how long a link may carry no frame before the entry opens a second
+	// connection in addition to it: two heartbeats missed.
 	SilenceTimeout = 2*HeartbeatInterval + HeartbeatInterval/2
 
 	dialTimeout       = time.Second
 	streamOpenTimeout = 5 * time.Second
 	writeTimeout      = 5 * time.Second
-	// windowBytes bounds what one stream may hold unread.
+	// windowBytes bounds the unread bytes of one stream.
 	windowBytes = 256 << 10
-	// acceptBacklog is how many streams may wait to be accepted.
+	// acceptBacklog bounds the streams that have not been accepted yet.
 	acceptBacklog = 1024
 )
 
@@ -39,7 +39,7 @@
 	mux *yamux.Session
 }
 
-// Dial connects to address, an IP number and a port.
+// Dial connects to address, an IP address and a port.
 func Dial(ctx context.Context, address string) (*Session, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
@@ -54,7 +54,7 @@
 	return &Session{mux: mux}, nil
 }
 
-// Accept takes a connection that the other end dialled.
+// Accept starts a session on a connection that the other end dialled.
 func Accept(conn net.Conn) (*Session, error) {
 	mux, err := yamux.Server(&coalescedConn{Conn: conn}, muxConfig())
 	if err != nil {
@@ -63,7 +63,7 @@
 	return &Session{mux: mux}, nil
 }
 
-// Open opens a stream. Its first frame tells the other end what it is for.
+// Open opens a stream. Its first frame must tell the other end its purpose.
 func (s *Session) Open() (*wire.Conn, error) {
 	stream, err := s.mux.OpenStream()
 	if err != nil {
@@ -72,7 +72,7 @@
 	return wire.NewConn(stream), nil
 }
 
-// AcceptStream waits for a stream of the other end.
+// AcceptStream waits for the other end to open a stream.
 func (s *Session) AcceptStream() (*wire.Conn, error) {
 	stream, err := s.mux.AcceptStream()
 	if err != nil {
@@ -81,17 +81,17 @@
 	return wire.NewConn(stream), nil
 }
 
-// Streams returns how many streams are open.
+// Streams returns the number of open streams.
 func (s *Session) Streams() int { return s.mux.NumStreams() }
 
 // Done is closed when the connection has ended.
 func (s *Session) Done() <-chan struct{} { return s.mux.CloseChan() }
 
-// Close ends the connection and all of its streams.
+// Close closes the connection and all of its streams.
 func (s *Session) Close() error { return s.mux.Close() }
 
-// muxConfig turns yamux's keepalive off: it answers from yamux's own read loop
-// and so says nothing about the process behind it.
+// muxConfig disables yamux's keep-alive: its replies come from yamux's own read loop and
+// prove nothing about the rest of the process.
 func muxConfig() *yamux.Config {
 	config := yamux.DefaultConfig()
 	config.EnableKeepAlive = false
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -19,7 +19,7 @@
 	RunSpecs(t, "link")
 }
 
-// countingConn counts the writes.
+// countingConn counts the writes to a connection.
 type countingConn struct {
 	net.Conn
 	writes atomic.Int64
@@ -30,7 +30,7 @@
 	return c.Conn.Write(p)
 }
 
-// pair returns both ends of a link and the counter of the accepting one.
+// pair returns both ends of a link, and the accepting end's connection.
 func pair() (dialled, accepted *link.Session, conn *countingConn) {
 	GinkgoHelper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -55,28 +55,28 @@
 }
 
 var _ = Describe("Session", func() {
-	var asking, answering *wire.Conn
+	var client, server *wire.Conn
 	var conn *countingConn
 
 	BeforeEach(func() {
 		dialled, accepted, counted := pair()
 		conn = counted
 		var err error
-		asking, err = dialled.Open()
+		client, err = dialled.Open()
 		Expect(err).NotTo(HaveOccurred())
-		Expect(asking.Send(chunk(0, nil))).To(Succeed())
-		answering, err = accepted.AcceptStream()
+		Expect(client.Send(chunk(0, nil))).To(Succeed())
+		server, err = accepted.AcceptStream()
 		Expect(err).NotTo(HaveOccurred())
-		_, err = answering.Receive()
+		_, err = server.Receive()
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("writes a small frame at once", func() {
+	It("writes a small frame by a single call", func() {
 		const frames = 50
 		before := conn.writes.Load()
 		for i := range uint32(frames) {
-			Expect(answering.Send(chunk(i, []byte("token")))).To(Succeed())
-			_, err := asking.Receive()
+			Expect(server.Send(chunk(i, []byte("token")))).To(Succeed())
+			_, err := client.Receive()
 			Expect(err).NotTo(HaveOccurred())
 		}
 		Expect(conn.writes.Load() - before).To(BeEquivalentTo(frames))
@@ -86,8 +86,8 @@
 		for _, size := range []int{0, 1, 4<<10 - 40, 4<<10 - 20, 4 << 10, 100 << 10, 1 << 20} {
 			data := bytes.Repeat([]byte{byte(size), 7}, size/2+1)
 			sent := make(chan error, 1)
-			go func() { sent <- answering.Send(chunk(uint32(size), data)) }()
-			f, err := asking.Receive()
+			go func() { sent <- server.Send(chunk(uint32(size), data)) }()
+			f, err := client.Receive()
 			Expect(err).NotTo(HaveOccurred())
 			Expect(<-sent).To(Succeed())
 			Expect(f.GetChunk().GetSequence()).To(BeEquivalentTo(size))
--- a/internal/member/choice.go
+++ b/internal/member/choice.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// WatchersPerDataCentre is how many entries of a data centre watch the
-	// store. One would leave its data centre behind when it is paused.
+	// WatchersPerDataCentre is how many entries of a data centre watch the store. With
+	// a single one, a pause of that process would leave the data centre out of date.
 	WatchersPerDataCentre = 2
-	// fullMesh is the largest number of entries that all link to one another.
-	fullMesh = 8
-	// Above it, each entry dials this many peers of its own data centre, of
-	// the rest of its region and of each other region, and the one that
-	// follows it in the order of names, which alone makes the graph connected.
+	// maxFullMesh is the largest number of entries that form a full mesh.
+	maxFullMesh = 8
+	// Above maxFullMesh, each entry dials this many peers of its own data centre, of
+	// the rest of its region and of each other region, and the entry after it in the
+	// order of names. The ring of these alone makes the graph connected.
 	peersOwnDataCentre = 2
 	peersOwnRegion     = 2
 	peersOtherRegion   = 1
 )
 
-// Watchers returns the entries that watch the store for a data centre.
-// Rendezvous hashing keeps the choice when others come and go.
+// Watchers returns the entries that watch the store for a data centre. With rendezvous
+// hashing, the selection stays the same when other entries join or leave.
 func Watchers(vms []sharedstate.VM, dataCentre string) []string {
 	entries := lo.Filter(vms, func(vm sharedstate.VM, _ int) bool {
 		return vm.Kind == sharedstate.VMEntry && !vm.Draining && vm.DataCentre == dataCentre
@@ -44,9 +44,9 @@
 		return nil
 	}
 	others := slices.Delete(slices.Clone(entries), at, at+1)
-	if len(entries) <= fullMesh {
-		// Both ends dial. An entry that starts while the VM list is down knows
-		// nobody to dial, and would stay alone if the others waited for it.
+	if len(entries) <= maxFullMesh {
+		// Both ends dial. An entry that starts while the VM list is unavailable has no
+		// peer to dial, and would stay isolated if the others waited for it.
 		return others
 	}
 	chosen := append([]string{entries[(at+1)%len(entries)].Name}, choosePeers(others, own)...)
@@ -68,9 +68,9 @@
 	return chosen
 }
 
-// Choose returns up to count nodes with the highest hashes for key. The library
-// loses track of its nodes when one is removed, so each choice is made among
-// the rest anew.
+// RendezvousNodes returns up to count nodes with the highest rendezvous hashes for key.
+// Removing a node corrupts the library's node list, so that each node is selected by a
+// new instance with the remaining ones.
 func RendezvousNodes(nodes []string, key string, count int) []string {
 	chosen := []string{}
 	for len(nodes) > 0 && len(chosen) < count {
--- a/internal/member/doc.go
+++ b/internal/member/doc.go
@@ -1,8 +1,8 @@
-// Package member keeps a process's picture of the fleet: the VM list and the
-// objects that all processes hold in common.
+// Package member keeps a process's view of the fleet: the VM list and the objects
+// that all processes share.
 //
-// Objects travel from the few entries that watch the store to all others, from
-// entry to entry and from entry to sidecar, always with their store version,
-// and a process only ever moves up. State is the state machine; Member runs it
-// and publishes an immutable Snapshot.
+// A few entries watch the store. Objects spread from them by gossip between entries
+// and over the links from entries to sidecars, always with their store version, and a
+// process only accepts higher versions. State is the state machine; Member runs it and
+// publishes an immutable Snapshot.
 package member
--- a/internal/member/event.go
+++ b/internal/member/event.go
@@ -7,67 +7,68 @@
 	"pistachioroad.dev/pistachioroad/internal/wire"
 )
 
-// PeerID is one connection to a peer.
+// PeerID identifies one connection to a peer.
 type PeerID uint64
 
-// Event is something that happened to a State.
+// Event is an input of a State.
 type Event interface{ event() }
 
 // The events of a State.
 type (
-	// Listed is the VM list, or the error of reading it.
-	Listed struct {
+	// VMListRead is the result of reading the VM list.
+	VMListRead struct {
 		VMs []sharedstate.VM
 		Err error
 	}
-	// StoreRead is an object as the store has it, or the error of reading it.
+	// StoreRead is the result of reading an object from the store.
 	StoreRead struct {
 		Object sharedstate.Object
 		Err    error
 	}
-	// Offered is an object from another process; Peer is 0 for a link that
-	// belongs to another duty.
-	Offered struct {
+	// ObjectReceived is an object from another process, or one that this process has
+	// written; Peer is 0 if it did not come over a gossip link.
+	ObjectReceived struct {
 		Peer   PeerID
 		Object sharedstate.Object
 	}
-	// PeerUp and PeerDown begin and end a connection.
+	// PeerUp and PeerDown start and end a connection.
 	PeerUp struct {
 		Peer    PeerID
 		Process string
 	}
 	PeerDown struct{ Peer PeerID }
-	// PeerVersions are the versions in force at another process; Peer is 0 for
-	// a link that belongs to another duty.
+	// PeerVersions are the versions held by another process; Peer is 0 if they did not
+	// come over a gossip link.
 	PeerVersions struct {
 		Peer     PeerID
 		Process  string
 		Versions map[string]uint64
-		// WantsList says that the peer's VM list is missing or old.
+		// WantsList is set if the peer's VM list is missing or old.
 		WantsList bool
 	}
-	// PeerListed is the VM list of a peer; Age is how long ago it was read.
-	PeerListed struct {
+	// PeerVMList is the VM list of a peer; Age is how long ago it was read.
+	PeerVMList struct {
 		VMs []sharedstate.VM
 		Age time.Duration
 	}
-	// Spent are this entry's heaviest accounts, to tell its peers.
-	Spent struct{ Accounts *wire.Accounts }
-	// Tick lets time pass.
+	// UsageAnnounced is the usage of this entry's heaviest client accounts, to
+	// announce to its peers.
+	UsageAnnounced struct{ Accounts *wire.Accounts }
+	// Tick advances time.
 	Tick struct{}
 )
 
-func (Listed) event()       {}
-func (PeerListed) event()   {}
-func (StoreRead) event()    {}
-func (Offered) event()      {}
-func (PeerUp) event()       {}
-func (PeerDown) event()     {}
-func (PeerVersions) event() {}
-func (Spent) event()        {}
-func (Tick) event()         {}
+func (VMListRead) event()     {}
+func (PeerVMList) event()     {}
+func (StoreRead) event()      {}
+func (ObjectReceived) event() {}
+func (PeerUp) event()         {}
+func (PeerDown) event()       {}
+func (PeerVersions) event()   {}
+func (UsageAnnounced) event() {}
+func (Tick) event()           {}
 
-// Effect is something that a State asks for.
+// Effect is an output of a State, for its driver to carry out.
 type Effect interface{ effect() }
 
 // The effects of a State.
@@ -77,7 +78,7 @@
 		Peer  PeerID
 		Frame *wire.Frame
 	}
-	// Publish says that the Snapshot has changed.
+	// Publish makes a changed Snapshot visible.
 	Publish struct{ Snapshot *Snapshot }
 )
 
--- a/internal/member/gossip.go
+++ b/internal/member/gossip.go
@@ -19,62 +19,62 @@
 
 // The timing and bounds of links between entries.
 const (
-	// peerSilentAfter is how long a peer may tell nothing before its link is
-	// closed: two messages missed. Links that have gone silent stay open for
-	// ever otherwise, while new ones work.
-	peerSilentAfter = 2*GossipInterval + GossipInterval/2
-	// dialInterval is how often an entry looks for peers to dial.
+	// peerSilenceTimeout closes a link without a message for this long: two messages
+	// missed. A connection that silently drops packets would otherwise stay open
+	// indefinitely, although a new one would work.
+	peerSilenceTimeout = 2*GossipInterval + GossipInterval/2
+	// dialInterval is how often an entry checks which peers to dial.
 	dialInterval = time.Second
-	// outboxSize bounds the frames that wait for a peer. Versions are told
-	// again, so that the oldest can be dropped.
+	// outboxSize bounds the frames queued for a peer. Versions are announced
+	// periodically, so that the oldest frames can be dropped.
 	outboxSize = 32
 )
 
-// conns are the links to peers that are up.
-type conns struct {
+// peerConns holds the outboxes of the links to peers that are up.
+type peerConns struct {
 	lastID atomic.Uint64
 
-	guard sync.Mutex
-	out   map[PeerID]*ring.Ring[*wire.Frame]
+	mu       sync.Mutex
+	outboxes map[PeerID]*ring.Ring[*wire.Frame]
 }
 
-func newConns() *conns { return &conns{out: map[PeerID]*ring.Ring[*wire.Frame]{}} }
+func newPeerConns() *peerConns { return &peerConns{outboxes: map[PeerID]*ring.Ring[*wire.Frame]{}} }
 
-// add makes room for one more peer, unless there are too many.
-func (c *conns) add() (PeerID, *ring.Ring[*wire.Frame], bool) {
-	c.guard.Lock()
-	defer c.guard.Unlock()
-	if len(c.out) >= maxPeers {
+// add returns the id and outbox of a new connection; false if there are maxPeers.
+func (c *peerConns) add() (PeerID, *ring.Ring[*wire.Frame], bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.outboxes) >= maxPeers {
 		return 0, nil, false
 	}
 	id := PeerID(c.lastID.Add(1))
 	out := ring.New[*wire.Frame]("member.peer", outboxSize, ring.DropOldest)
-	c.out[id] = out
+	c.outboxes[id] = out
 	return id, out, true
 }
 
-func (c *conns) remove(id PeerID) {
-	c.guard.Lock()
-	defer c.guard.Unlock()
-	delete(c.out, id)
+func (c *peerConns) remove(id PeerID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.outboxes, id)
 }
 
-func (c *conns) send(id PeerID, f *wire.Frame) {
-	c.guard.Lock()
-	out := c.out[id]
-	c.guard.Unlock()
+func (c *peerConns) send(id PeerID, f *wire.Frame) {
+	c.mu.Lock()
+	out := c.outboxes[id]
+	c.mu.Unlock()
 	if out != nil {
 		out.Put(f)
 	}
 }
 
-func (c *conns) count() int {
-	c.guard.Lock()
-	defer c.guard.Unlock()
-	return len(c.out)
+func (c *peerConns) count() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.outboxes)
 }
 
-// dialer keeps links to the chosen peers.
+// dialer keeps links to the selected peers open.
 type dialer struct {
 	member *Member
 	random *rand.Rand
@@ -88,7 +88,7 @@
 	var running sync.WaitGroup
 	defer running.Wait()
 	for {
-		d.hangUp(dialled)
+		d.closeUnselected(dialled)
 		for _, vm := range Peers(m.Snapshot().VMs, m.config.Process) {
 			if dialled[vm.Name] != nil || vm.LinkAddress == "" || len(dialled) >= maxPeers {
 				continue
@@ -100,28 +100,29 @@
 				ended <- vm.Name
 			})
 		}
-		if !d.wait(ctx, ended, dialled) {
+		if !d.collectEnded(ctx, ended, dialled) {
 			return ctx.Err()
 		}
 	}
 }
 
-// hangUp ends the links to entries that are no longer chosen.
-func (d *dialer) hangUp(dialled map[string]context.CancelFunc) {
-	chosen := map[string]bool{}
+// closeUnselected closes the links to entries that are no longer selected.
+func (d *dialer) closeUnselected(dialled map[string]context.CancelFunc) {
+	selected := map[string]bool{}
 	for _, vm := range Peers(d.member.Snapshot().VMs, d.member.config.Process) {
-		chosen[vm.Name] = true
+		selected[vm.Name] = true
 	}
 	for name, cancel := range dialled {
-		if !chosen[name] {
+		if !selected[name] {
 			cancel()
 		}
 	}
 }
 
-// wait takes the links that ended until it is time to look again.
-func (d *dialer) wait(ctx context.Context, ended <-chan string, dialled map[string]context.CancelFunc) bool {
-	timer := time.NewTimer(spread(dialInterval, d.random))
+// collectEnded removes links that have ended from dialled until the next check is due.
+// It returns false when ctx ends.
+func (d *dialer) collectEnded(ctx context.Context, ended <-chan string, dialled map[string]context.CancelFunc) bool {
+	timer := time.NewTimer(jitter(dialInterval, d.random))
 	defer timer.Stop()
 	for {
 		select {
@@ -136,7 +137,7 @@
 	}
 }
 
-// dial runs one link until it ends.
+// dial opens one link and runs it until it ends.
 func (m *Member) dial(ctx context.Context, vm sharedstate.VM) {
 	session, err := link.Dial(ctx, vm.LinkAddress)
 	if err != nil {
@@ -149,10 +150,10 @@
 	if err != nil {
 		return
 	}
-	m.converse(conn, session)
+	m.runPeer(conn, session)
 }
 
-// acceptor takes the links of other entries.
+// acceptor accepts the links of other entries.
 type acceptor struct{ member *Member }
 
 // Serve accepts until ctx ends.
@@ -182,24 +183,25 @@
 	stop := context.AfterFunc(ctx, func() { _ = session.Close() })
 	defer stop()
 	defer func() { _ = session.Close() }()
-	silent := time.AfterFunc(peerSilentAfter, func() { _ = session.Close() })
+	silent := time.AfterFunc(peerSilenceTimeout, func() { _ = session.Close() })
 	conn, err := session.AcceptStream()
 	silent.Stop()
 	if err != nil {
 		return
 	}
-	m.converse(conn, session)
+	m.runPeer(conn, session)
 }
 
-// converse exchanges frames with a peer until the link ends or goes silent.
-func (m *Member) converse(conn *wire.Conn, session *link.Session) {
+// runPeer exchanges frames with a peer until the link ends or peerSilenceTimeout passes
+// without one.
+func (m *Member) runPeer(conn *wire.Conn, session *link.Session) {
 	id, out, ok := m.conns.add()
 	if !ok {
 		return
 	}
 	defer m.conns.remove(id)
 	m.metrics.peers.Update(int64(m.conns.count()))
-	silent := time.AfterFunc(peerSilentAfter, func() { _ = session.Close() })
+	silent := time.AfterFunc(peerSilenceTimeout, func() { _ = session.Close() })
 	defer silent.Stop()
 
 	hello := &wire.Hello{
@@ -215,7 +217,7 @@
 		return
 	}
 	process := f.GetHello().GetProcess()
-	log.WithField("peer", process).Info("peer is up")
+	log.WithField("peer", process).Info("peer connected")
 	var writing sync.WaitGroup
 	writing.Go(func() { m.writeAll(conn, out, session) })
 	defer writing.Wait()
@@ -226,16 +228,16 @@
 	for {
 		f, err := m.read(conn)
 		if err != nil {
-			log.WithField("peer", process).Info("peer is down")
+			log.WithField("peer", process).Info("peer disconnected")
 			return
 		}
-		silent.Reset(peerSilentAfter)
-		m.take(id, process, f)
+		silent.Reset(peerSilenceTimeout)
+		m.handleFrame(id, process, f)
 	}
 }
 
-// take passes on what a peer told.
-func (m *Member) take(id PeerID, process string, f *wire.Frame) {
+// handleFrame turns a frame from a peer into an event.
+func (m *Member) handleFrame(id PeerID, process string, f *wire.Frame) {
 	switch body := f.GetBody().(type) {
 	case *wire.Frame_Versions:
 		m.inbox.Put(PeerVersions{
@@ -246,9 +248,9 @@
 		})
 	case *wire.Frame_Vms:
 		vms, age := listFromWire(body.Vms)
-		m.inbox.Put(PeerListed{VMs: vms, Age: age})
+		m.inbox.Put(PeerVMList{VMs: vms, Age: age})
 	case *wire.Frame_Object:
-		m.inbox.Put(Offered{Peer: id, Object: sharedstate.Object{
+		m.inbox.Put(ObjectReceived{Peer: id, Object: sharedstate.Object{
 			Name:    body.Object.GetName(),
 			Version: body.Object.GetVersion(),
 			Value:   body.Object.GetValue(),
@@ -258,7 +260,7 @@
 	}
 }
 
-// writeAll sends what waits for a peer until the link ends.
+// writeAll sends the frames of the outbox until the link ends.
 func (m *Member) writeAll(conn *wire.Conn, out *ring.Ring[*wire.Frame], session *link.Session) {
 	for {
 		select {
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// maxListed bounds the VM list that a peer may tell.
-	maxListed = 8192
-	// maxListAge is the greatest age told of a list.
+	// maxVMs bounds the length of a VM list received from a peer.
+	maxVMs = 8192
+	// maxListAge caps the age of a VM list received from a peer.
 	maxListAge = 24 * time.Hour
 )
 
-// listToWire returns the frame of a VM list of that age.
+// listToWire returns the message for a VM list of the given age.
 func listToWire(vms []sharedstate.VM, age time.Duration) *wire.VMs {
 	return &wire.VMs{
 		AgeMs: uint64(max(0, age).Milliseconds()),
@@ -35,10 +35,10 @@
 	}
 }
 
-// listFromWire returns the VM list of a frame and its age.
+// listFromWire returns the VM list of a message and its age, both within bounds.
 func listFromWire(f *wire.VMs) ([]sharedstate.VM, time.Duration) {
 	listed := f.GetVms()
-	vms := lo.Map(listed[:min(len(listed), maxListed)], func(vm *wire.VMs_VM, _ int) sharedstate.VM {
+	vms := lo.Map(listed[:min(len(listed), maxVMs)], func(vm *wire.VMs_VM, _ int) sharedstate.VM {
 		return sharedstate.VM{
 			Name:            vm.GetName(),
 			Kind:            sharedstate.VMKind(vm.GetKind()),
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -18,45 +18,46 @@
 )
 
 const (
-	// inboxSize bounds the events that wait for a Member. All of them are told
-	// again by their source, so that the oldest can be dropped.
+	// inboxSize bounds the events queued for a Member. Their sources repeat all of
+	// them, so that the oldest can be dropped.
 	inboxSize = 1024
-	// accountsSize bounds the reports of peers that wait for the admission.
+	// accountsSize bounds the usage announcements of peers queued for admission
+	// control.
 	accountsSize = 256
-	// tickInterval is how often State sees time pass.
+	// tickInterval is how often State gets a Tick.
 	tickInterval = 100 * time.Millisecond
-	// defaultListInterval is how often the VM list is read.
+	// defaultListInterval is how often the VM list is read by default.
 	defaultListInterval = time.Second
 )
 
-// Config says whose picture of the fleet a Member keeps.
+// Config is the configuration of a Member.
 type Config struct {
-	// Process is the name of the process's VM, Incarnation this start of it.
+	// Process is the name of the process's VM; Incarnation identifies this run of it.
 	Process     string
 	Incarnation string
 	Region      string
 	DataCentre  string
-	// Entry processes watch the store and gossip with each other; others get
-	// the objects from entries, over their links.
+	// Entry is set for entries, which watch the store and gossip with each other;
+	// other processes get the objects from entries, over their links.
 	Entry bool
-	// Peers takes the links of other entries. Nil: none are taken.
+	// PeerListener accepts the links of other entries; nil to accept none.
 	PeerListener net.Listener
-	// ListInterval is how often the VM list is read; zero: each second.
+	// ListInterval is how often the VM list is read; zero means each second.
 	ListInterval time.Duration
-	// NoList leaves the VM list unread. Sidecars need none, and hundreds of
-	// them would spend the platform's call rate on it.
+	// SkipVMList disables reading the VM list. Sidecars do not need it, and hundreds of
+	// them would use up the platform's call rate.
 	SkipVMList bool
-	// Random spreads calls in time. Nil: a random seed.
+	// Random adds jitter to calls; nil means a random seed.
 	Random *rand.Rand
 }
 
-// PeerAccounts is what one peer told of its heaviest accounts.
+// PeerUsage is the usage of a peer's heaviest client accounts, as it announced it.
 type PeerUsage struct {
 	Process  string
 	Accounts *wire.Accounts
 }
 
-// Member keeps a process's picture of the fleet. Its Services run it.
+// Member keeps a process's view of the fleet. It is run by its Services.
 type Member struct {
 	config   Config
 	store    sharedstate.Store
@@ -65,7 +66,7 @@
 	accounts *ring.Ring[PeerUsage]
 	snapshot atomic.Pointer[Snapshot]
 	changed  atomic.Pointer[chan struct{}]
-	conns    *conns
+	conns    *peerConns
 	metrics  memberMetrics
 }
 
@@ -94,7 +95,7 @@
 	}
 }
 
-// New returns a Member that knows nothing yet.
+// New returns a Member with an empty Snapshot.
 func New(config Config, store sharedstate.Store, list sharedstate.VMList) *Member {
 	if config.ListInterval <= 0 {
 		config.ListInterval = defaultListInterval
@@ -108,7 +109,7 @@
 		list:     list,
 		inbox:    ring.New[Event]("member", inboxSize, ring.DropOldest),
 		accounts: ring.New[PeerUsage]("member.accounts", accountsSize, ring.DropOldest),
-		conns:    newConns(),
+		conns:    newPeerConns(),
 		metrics:  newMemberMetrics(),
 	}
 	m.snapshot.Store(NewState(config.Region, time.Time{}).Snapshot())
@@ -135,33 +136,36 @@
 	return services
 }
 
-// Snapshot returns the picture as it is now.
+// Snapshot returns the latest Snapshot.
 func (m *Member) Snapshot() *Snapshot { return m.snapshot.Load() }
 
-// Changed returns a channel that is closed when the next Snapshot is published.
-// Take the channel first, then the Snapshot.
+// Changed returns a channel that is closed when the next Snapshot is published. To miss
+// no change, call Changed before Snapshot.
 func (m *Member) Changed() <-chan struct{} { return *m.changed.Load() }
 
-// Offer takes an object from a link, or one that this process has just written.
-func (m *Member) Offer(o sharedstate.Object) { m.inbox.Put(Offered{Object: o}) }
+// Offer passes on an object that was received over another link, or that this process
+// has just written.
+func (m *Member) Offer(o sharedstate.Object) { m.inbox.Put(ObjectReceived{Object: o}) }
 
-// Heard takes the versions that another process told over a link. A fresh
-// process waits for some of them.
+// SetPeerVersions passes on the versions that another process announced over a link. A
+// new process waits for those of several processes.
 func (m *Member) SetPeerVersions(process string, v *wire.Versions) {
 	m.inbox.Put(PeerVersions{Process: process, Versions: v.GetVersions()})
 }
 
-// Spent gives this entry's heaviest accounts to tell its peers. The value must
-// not be changed afterwards.
-func (m *Member) AnnounceUsage(accounts *wire.Accounts) { m.inbox.Put(Spent{Accounts: accounts}) }
+// AnnounceUsage sets the usage of this entry's heaviest client accounts to announce to
+// its peers. The value must not be changed afterwards.
+func (m *Member) AnnounceUsage(accounts *wire.Accounts) {
+	m.inbox.Put(UsageAnnounced{Accounts: accounts})
+}
 
-// Accounts returns what peers told of theirs. One goroutine takes from it.
+// PeerUsage returns the usage announced by peers. Only one goroutine may receive from it.
 func (m *Member) PeerUsage() <-chan PeerUsage { return m.accounts.C() }
 
 // Serve runs the state machine until ctx ends.
 func (m *Member) Serve(ctx context.Context) error {
 	state := NewState(m.config.Region, time.Now())
-	m.resume(state)
+	m.restore(state)
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
@@ -172,26 +176,26 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		m.do(state.Step(time.Now(), ev))
-		if _, ok := ev.(Listed); ok {
+		m.execute(state.Step(time.Now(), ev))
+		if _, ok := ev.(VMListRead); ok {
 			m.snapshot.Store(state.Snapshot())
 		}
 	}
 }
 
-// resume brings a State that is begun again after a panic back to what this
-// process had in force.
-func (m *Member) resume(state *State) {
+// restore loads a new State, after a panic, with the objects and the VM list that this
+// process published before.
+func (m *Member) restore(state *State) {
 	held := m.snapshot.Load()
 	for _, o := range held.objects.held {
-		state.Step(time.Now(), Offered{Object: o})
+		state.Step(time.Now(), ObjectReceived{Object: o})
 	}
 	if len(held.VMs) > 0 {
-		state.Step(held.ListedAt, Listed{VMs: held.VMs})
+		state.Step(held.ListedAt, VMListRead{VMs: held.VMs})
 	}
 }
 
-func (m *Member) do(effects []Effect) {
+func (m *Member) execute(effects []Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case Send:
@@ -210,14 +214,14 @@
 	close(*m.changed.Swap(&next))
 }
 
-// newRandom returns a source for one duty.
+// newRandom returns a source of random numbers for one duty.
 func (m *Member) newRandom() *rand.Rand {
 	return rand.New(rand.NewPCG(m.config.Random.Uint64(), m.config.Random.Uint64()))
 }
 
-// spread returns d lengthened or shortened by up to a quarter, so that
-// processes that started together do not call together.
-func spread(d time.Duration, random *rand.Rand) time.Duration {
+// jitter returns d lengthened or shortened by up to a quarter, so that processes that
+// started together do not make their calls together.
+func jitter(d time.Duration, random *rand.Rand) time.Duration {
 	const quarter = 4
 	return d - d/quarter + time.Duration(random.Int64N(int64(d/(quarter/2))+1))
 }
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -101,21 +101,21 @@
 	}
 }
 
-// add puts a VM into the list.
+// add appends a VM to the list.
 func (p *fakePlatform) add(vm sharedstate.VM) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.vms = append(slices.Clone(p.vms), vm)
 }
 
-// runningEntry is an entry on loopback.
+// runningEntry is an entry that listens on the loopback address.
 type runningEntry struct {
 	*member.Member
 
 	vm sharedstate.VM
 }
 
-// startOne runs an entry that the VM list does not show yet.
+// startOne runs an entry without adding it to the VM list.
 func startOne(p *fakePlatform, vm sharedstate.VM) runningEntry {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -137,7 +137,7 @@
 	return runningEntry{Member: m, vm: vm}
 }
 
-// start runs entries of one data centre on loopback.
+// start runs entries of one data centre on loopback and adds them to the VM list.
 func start(p *fakePlatform, count int) []runningEntry {
 	entries := []runningEntry{}
 	for n := range count {
@@ -149,14 +149,13 @@
 }
 
 var _ = Describe("Member", func() {
-	// An operator's change reaches the store. Entries that do not watch it
-	// must hear of it from those that do, or half of the callers go on under
-	// the old configuration.
-	It("brings a change into force at every entry", func() {
+	// Guards against half of the callers being served under an old configuration:
+	// entries that do not watch the store must get a change from those that do.
+	It("applies a change at every entry", func() {
 		p := newFakePlatform()
 		p.set("fleetconfig", 1, `{"write_id":"a"}`)
 		members := start(p, 5)
-		inForce := func(version uint64) func() int {
+		applied := func(version uint64) func() int {
 			return func() int {
 				count := 0
 				for _, m := range members {
@@ -167,13 +166,13 @@
 				return count
 			}
 		}
-		Eventually(inForce(1), 10*time.Second).Should(Equal(5))
+		Eventually(applied(1), 10*time.Second).Should(Equal(5))
 		p.set("fleetconfig", 2, `{"write_id":"b"}`)
-		Eventually(inForce(2), 10*time.Second).Should(Equal(5))
+		Eventually(applied(2), 10*time.Second).Should(Equal(5))
 	})
 
-	// The store and the VM list are down when a change was made by an operator
-	// at one entry just before. The others must get it all the same.
+	// Guards against a lost change: an operator makes it at one entry just before the
+	// store and the VM list fail, and the other entries must still get it.
 	It("spreads an offered object while the platform is down", func() {
 		p := newFakePlatform()
 		members := start(p, 4)
@@ -188,9 +187,9 @@
 		Expect(members[3].Snapshot().VMs).To(HaveLen(4))
 	})
 
-	// An entry is restarted while the platform is down, so that it sees neither
-	// the store nor the VM list. The others dial it, or its callers would be
-	// served without any configuration.
+	// Guards against an entry that serves its callers without any configuration: it is
+	// restarted during an outage of the platform, with neither the store nor the VM list,
+	// and only the other entries can dial it.
 	It("gets the objects from its peers when it starts in an outage", func() {
 		p := newFakePlatform()
 		p.set("fleetconfig", 3, `{"write_id":"a"}`)
@@ -203,9 +202,9 @@
 		down.setDown(true)
 		vm := entryVM(0)
 		vm.Name = "entry-0"
-		fresh := startOne(down, vm)
-		p.add(fresh.vm)
-		Eventually(func() uint64 { return fresh.Snapshot().ConfigVersion }, 10*time.Second).Should(Equal(uint64(3)))
-		Eventually(func() bool { return fresh.Snapshot().Confirmed }, 10*time.Second).Should(BeTrue())
+		restarted := startOne(down, vm)
+		p.add(restarted.vm)
+		Eventually(func() uint64 { return restarted.Snapshot().ConfigVersion }, 10*time.Second).Should(Equal(uint64(3)))
+		Eventually(func() bool { return restarted.Snapshot().Confirmed }, 10*time.Second).Should(BeTrue())
 	})
 })
--- a/internal/member/objects.go
+++ b/internal/member/objects.go
@@ -9,31 +9,29 @@
 	"pistachioroad.dev/pistachioroad/internal/wire"
 )
 
-// maxObjects bounds the objects that a process holds; a peer cannot fill its
-// memory with names.
+// maxObjects bounds the objects that a process holds, so that a peer cannot exhaust its
+// memory with new names.
 const maxObjects = 64
 
 // Objects holds, for each name, the object with the highest version seen. It
 // is not safe for use by several goroutines.
 //
-// A relay that was cut off for a while goes on sending what it knew. Taking
-// the newest message for the newest object would take this process back to a
-// configuration that an operator has already replaced; comparing store
-// versions keeps it from that.
+// A peer that was partitioned for a while still sends its old objects. If the last
+// message won, this process could revert to a configuration that an operator has already
+// replaced; comparing store versions prevents that.
 type Objects struct {
 	held map[string]sharedstate.Object
-	// wanted are the only names held; empty: all.
+	// wanted are the only names accepted; empty means all.
 	wanted []string
 }
 
-// NewObjects returns an Objects that holds nothing yet, and only ever objects
-// of the names given; without names, any.
+// NewObjects returns an empty Objects that accepts only the given names; without names,
+// any.
 func NewObjects(wanted ...string) *Objects {
 	return &Objects{held: map[string]sharedstate.Object{}, wanted: wanted}
 }
 
-// Offer takes o if its version is above the one held, and reports whether it
-// did.
+// Offer stores o if its version is above the one held, and reports whether it did.
 func (s *Objects) Offer(o sharedstate.Object) bool {
 	before, known := s.held[o.Name]
 	if o.Version <= before.Version {
@@ -52,7 +50,7 @@
 	return len(s.wanted) == 0 || slices.Contains(s.wanted, name)
 }
 
-// clone returns an Objects that changes apart from s.
+// clone returns an independent copy of s.
 func (s *Objects) clone() *Objects {
 	return &Objects{held: maps.Clone(s.held), wanted: s.wanted}
 }
@@ -79,9 +77,8 @@
 	return &wire.Versions{Versions: versions}
 }
 
-// Newer returns the objects held at a higher version than the peer's, in order
-// of their names. A peer that lists names gets only those: the plan of one
-// region is of no use in another.
+// Newer returns the objects held at a higher version than the peer's, sorted by name. A
+// peer that lists names gets only those: the plan of one region is of no use in another.
 func (s *Objects) Newer(peer *wire.Versions) []*wire.Object {
 	newer := []*wire.Object{}
 	for _, name := range slices.Sorted(maps.Keys(s.held)) {
--- a/internal/member/state.go
+++ b/internal/member/state.go
@@ -16,133 +16,136 @@
 
 // The timing and bounds of State.
 const (
-	// GossipInterval is how often an entry tells each peer its versions. The
-	// message is the heartbeat of the link as well.
+	// GossipInterval is how often an entry announces its versions to each peer. The
+	// message is also the heartbeat of the link.
 	GossipInterval = 2 * time.Second
-	// pullRetry is how long a newer object may take to arrive before it is
-	// asked of another peer too.
-	pullRetry = 500 * time.Millisecond
-	// readyPeers is how many peers a fresh process hears out when the store
-	// does not answer.
-	readyPeers = 2
-	// readyTimeout bounds the wait of a fresh process. It then serves what it
-	// has, and says so.
+	// fetchRetryInterval is how long a newer object may take to arrive before it is
+	// requested or sent again.
+	fetchRetryInterval = 500 * time.Millisecond
+	// readyPeerCount is how many processes must announce their versions before a new
+	// process counts as confirmed without the store.
+	readyPeerCount = 2
+	// readyTimeout bounds the wait of a new process. It then serves with what it has,
+	// and reports that it is not confirmed.
 	readyTimeout = 5 * time.Second
-	// peerForgottenAfter is how long a peer may tell nothing before it no longer
-	// counts.
-	peerForgottenAfter = 4 * GossipInterval
-	// listStale is the age from which a VM list is asked of peers.
-	listStale = 10 * time.Second
-	// maxPeers bounds the peers of an entry.
+	// peerExpiry is how long a peer may send no message before it is removed.
+	peerExpiry = 4 * GossipInterval
+	// listStaleAfter is the age from which a newer VM list is requested from peers.
+	listStaleAfter = 10 * time.Second
+	// maxPeers bounds the connections to peers.
 	maxPeers = 64
 )
 
 type peer struct {
-	process string
-	heardAt time.Time
-	// sent is the version of each object last sent, and when.
-	sent map[string]sentObject
+	process      string
+	lastReceived time.Time
+	// sent has the version of each object last sent, and when.
+	sent map[string]timedVersion
 }
 
-type sentObject struct {
+// timedVersion is a version of an object, and when it was sent or requested.
+type timedVersion struct {
 	version uint64
 	at      time.Time
 }
 
-// State is the state machine of a process's picture of the fleet. It is not
-// safe for use by several goroutines.
+// State is the state machine of a process's view of the fleet. It is not safe for
+// concurrent use.
 //
-// A peer is told versions only, and asks for what it lacks by telling its own:
-// so each object crosses to a process once, however many peers have it.
+// It announces only versions to peers. A peer requests what it lacks by announcing its
+// own versions, so that each object is sent to a process once, however many of its peers
+// have it.
 type State struct {
 	objects *Objects
 	current Snapshot
 
 	startedAt time.Time
-	// confirmed are the objects that the store has answered for, heard the
-	// versions of each process that has told them.
-	confirmed map[string]bool
-	heard     map[string]map[string]uint64
-
-	peers    map[PeerID]*peer
-	asked    map[string]sentObject
-	accounts *wire.Accounts
-	gossipAt time.Time
-	now      time.Time
+	// storeConfirmedObjects are the objects read from the store, announced the versions
+	// that each process has announced. Both serve to find out whether a new process is
+	// confirmed.
+	storeConfirmedObjects map[string]bool
+	announced             map[string]map[string]uint64
+
+	peers map[PeerID]*peer
+	// requested has the version of each object last requested from a peer, and when.
+	requested    map[string]timedVersion
+	usage        *wire.Accounts
+	nextGossipAt time.Time
+	now          time.Time
 
 	effects []Effect
 }
 
-// NewState returns the State of a process of the region that has begun now.
+// NewState returns the State of a process of the region that starts now.
 func NewState(region string, now time.Time) *State {
 	s := &State{
-		objects:   NewObjects(fleetconfig.ObjectName, plan.ObjectName(region)),
-		startedAt: now,
-		confirmed: map[string]bool{},
-		heard:     map[string]map[string]uint64{},
-		peers:     map[PeerID]*peer{},
-		asked:     map[string]sentObject{},
-		gossipAt:  now.Add(GossipInterval),
+		objects:               NewObjects(fleetconfig.ObjectName, plan.ObjectName(region)),
+		startedAt:             now,
+		storeConfirmedObjects: map[string]bool{},
+		announced:             map[string]map[string]uint64{},
+		peers:                 map[PeerID]*peer{},
+		requested:             map[string]timedVersion{},
+		nextGossipAt:          now.Add(GossipInterval),
 	}
 	s.current.objects = NewObjects(s.objects.wanted...)
 	return s
 }
 
-// Snapshot returns the picture as it is now.
+// Snapshot returns the current Snapshot.
 func (s *State) Snapshot() *Snapshot {
 	c := s.current
 	return &c
 }
 
-// Step takes one event and returns what to do.
+// Step handles one event and returns the effects to carry out.
 func (s *State) Step(now time.Time, ev Event) []Effect {
 	s.effects, s.now = nil, now
 	before := s.current
 	switch ev := ev.(type) {
-	case Listed:
-		s.listed(now, ev)
-	case PeerListed:
-		s.peerListed(now, ev)
+	case VMListRead:
+		s.handleList(now, ev)
+	case PeerVMList:
+		s.handlePeerList(now, ev)
 	case StoreRead:
-		s.storeRead(ev)
-	case Offered:
-		s.offered(ev.Object, ev.Peer)
+		s.handleStoreRead(ev)
+	case ObjectReceived:
+		s.applyObject(ev.Object, ev.Peer)
 	case PeerUp:
-		s.peerUp(now, ev)
+		s.handlePeerUp(now, ev)
 	case PeerDown:
 		delete(s.peers, ev.Peer)
 	case PeerVersions:
-		s.peerVersions(now, ev)
-	case Spent:
-		s.accounts = ev.Accounts
+		s.handlePeerVersions(now, ev)
+	case UsageAnnounced:
+		s.usage = ev.Accounts
 	case Tick:
-		s.tick(now)
+		s.handleTick(now)
 	}
 	s.checkReady(now)
-	if s.differs(before) {
+	if s.changedSince(before) {
 		s.effects = append(s.effects, Publish{Snapshot: s.Snapshot()})
 	}
 	return s.effects
 }
 
-// differs reports whether others would see a change. The time of the list alone
-// is none.
-func (s *State) differs(before Snapshot) bool {
+// changedSince reports whether the Snapshot has changed, apart from the time of a VM list
+// that is the same as before.
+func (s *State) changedSince(before Snapshot) bool {
 	c := s.current
 	return before.objects != c.objects || before.Ready != c.Ready || before.Confirmed != c.Confirmed ||
 		before.ListedAt.IsZero() != c.ListedAt.IsZero() || !slices.Equal(before.VMs, c.VMs)
 }
 
-// listed takes the list unless it is empty. The list has outages too, and an
-// empty list would take every backend server out of service at once.
-func (s *State) listed(now time.Time, ev Listed) {
+// handleList applies the VM list unless it is empty. An empty list is a sign of an outage
+// of the list, and applying it would take every backend server out of service.
+func (s *State) handleList(now time.Time, ev VMListRead) {
 	if ev.Err != nil || len(ev.VMs) == 0 {
 		return
 	}
-	s.takeList(now, ev.VMs)
+	s.setList(now, ev.VMs)
 }
 
-func (s *State) takeList(readAt time.Time, list []sharedstate.VM) {
+func (s *State) setList(readAt time.Time, list []sharedstate.VM) {
 	vms := slices.Clone(list)
 	slices.SortFunc(vms, byName)
 	s.current.ListedAt = readAt
@@ -151,37 +154,36 @@
 	}
 }
 
-// wantsList reports whether peers are asked for their VM list. An entry that is
-// replaced while the platform is out would otherwise know no backend server for
-// as long as the outage lasts, and entries replaced one by one would all be
-// lost.
+// wantsList reports whether to request the VM list from peers. Otherwise, an entry that
+// is replaced during an outage of the platform would know no backend server until the
+// outage ends, and a rolling replacement during it would leave no working entry.
 func (s *State) wantsList() bool {
-	return s.current.ListedAt.IsZero() || s.now.Sub(s.current.ListedAt) >= listStale
+	return s.current.ListedAt.IsZero() || s.now.Sub(s.current.ListedAt) >= listStaleAfter
 }
 
-// peerListed takes a peer's list if it was read later than the one held.
-func (s *State) peerListed(now time.Time, ev PeerListed) {
+// handlePeerList applies a peer's VM list if it was read later than the current one.
+func (s *State) handlePeerList(now time.Time, ev PeerVMList) {
 	readAt := now.Add(-ev.Age)
 	if len(ev.VMs) > 0 && s.wantsList() && readAt.After(s.current.ListedAt) {
-		s.takeList(readAt, ev.VMs)
+		s.setList(readAt, ev.VMs)
 	}
 }
 
-func (s *State) storeRead(ev StoreRead) {
+func (s *State) handleStoreRead(ev StoreRead) {
 	if ev.Err != nil {
 		return
 	}
-	s.confirmed[ev.Object.Name] = true
-	s.offered(ev.Object, 0)
+	s.storeConfirmedObjects[ev.Object.Name] = true
+	s.applyObject(ev.Object, 0)
 }
 
-// offered takes an object if it is newer, and tells the peers but for the one
-// that it came from.
-func (s *State) offered(o sharedstate.Object, from PeerID) {
+// applyObject applies an object if it is newer, and announces it to all peers except the
+// one that it came from.
+func (s *State) applyObject(o sharedstate.Object, from PeerID) {
 	if len(o.Value) > sharedstate.MaxValue || !s.objects.Offer(o) {
 		return
 	}
-	delete(s.asked, o.Name)
+	delete(s.requested, o.Name)
 	s.decode(o)
 	s.current.objects = s.objects.clone()
 	for _, id := range s.peerIDs() {
@@ -191,9 +193,9 @@
 	}
 }
 
-// decode puts the content of o into the snapshot. An object that cannot be read
-// leaves the one before in force, and its version is still passed on: a newer
-// release may be able to read it.
+// decode puts the content of o into the snapshot. If o cannot be decoded, the previous
+// one stays active, and the version of o is still announced: a newer release may be able
+// to decode it.
 func (s *State) decode(o sharedstate.Object) {
 	var err error
 	switch o.Name {
@@ -212,43 +214,44 @@
 	}
 	if err != nil {
 		log.WithError(err).WithField("object", o.Name).WithField("version", o.Version).
-			Error("object cannot be read")
+			Error("object cannot be decoded, keeping the previous one")
 	}
 }
 
-func (s *State) peerUp(now time.Time, ev PeerUp) {
+func (s *State) handlePeerUp(now time.Time, ev PeerUp) {
 	if len(s.peers) >= maxPeers {
 		return
 	}
-	s.peers[ev.Peer] = &peer{process: ev.Process, heardAt: now, sent: map[string]sentObject{}}
+	s.peers[ev.Peer] = &peer{process: ev.Process, lastReceived: now, sent: map[string]timedVersion{}}
 	s.send(ev.Peer, s.versionsFrame())
 }
 
-// peerVersions sends the peer what it lacks, and asks it for what it has more.
-func (s *State) peerVersions(now time.Time, ev PeerVersions) {
-	if !s.current.Confirmed && len(s.heard) < maxPeers {
-		s.heard[ev.Process] = s.wantedOf(ev.Versions)
+// handlePeerVersions sends the peer the objects that it lacks, and requests those that
+// are missing here.
+func (s *State) handlePeerVersions(now time.Time, ev PeerVersions) {
+	if !s.current.Confirmed && len(s.announced) < maxPeers {
+		s.announced[ev.Process] = s.filterWanted(ev.Versions)
 	}
 	if ev.Peer == 0 {
 		return
 	}
 	if s.peers[ev.Peer] == nil {
-		s.peerUp(now, PeerUp{Peer: ev.Peer, Process: ev.Process})
+		s.handlePeerUp(now, PeerUp{Peer: ev.Peer, Process: ev.Process})
 	}
 	p := s.peers[ev.Peer]
 	if p == nil {
 		return
 	}
-	p.heardAt = now
+	p.lastReceived = now
 	for _, o := range s.objects.Newer(&wire.Versions{Versions: ev.Versions}) {
 		last := p.sent[o.GetName()]
-		if last.version == o.GetVersion() && now.Sub(last.at) < pullRetry {
+		if last.version == o.GetVersion() && now.Sub(last.at) < fetchRetryInterval {
 			continue
 		}
-		p.sent[o.GetName()] = sentObject{version: o.GetVersion(), at: now}
+		p.sent[o.GetName()] = timedVersion{version: o.GetVersion(), at: now}
 		s.send(ev.Peer, &wire.Frame{Body: &wire.Frame_Object{Object: o}})
 	}
-	if s.askFor(now, ev.Versions) {
+	if s.requestMissing(now, ev.Versions) {
 		s.send(ev.Peer, s.versionsFrame())
 	}
 	if ev.WantsList {
@@ -256,7 +259,7 @@
 	}
 }
 
-// sendList answers a peer that wants the VM list.
+// sendList sends the VM list to a peer that requests it, if there is one.
 func (s *State) sendList(now time.Time, id PeerID) {
 	if s.current.ListedAt.IsZero() {
 		return
@@ -265,52 +268,54 @@
 	s.send(id, &wire.Frame{Body: &wire.Frame_Vms{Vms: listToWire(s.current.VMs, age)}})
 }
 
-// wantedOf keeps of the versions those of the objects that are held here.
-func (s *State) wantedOf(versions map[string]uint64) map[string]uint64 {
-	kept := map[string]uint64{}
+// filterWanted returns the versions of those objects that this process holds.
+func (s *State) filterWanted(versions map[string]uint64) map[string]uint64 {
+	wanted := map[string]uint64{}
 	for _, name := range s.objects.wanted {
-		kept[name] = versions[name]
+		wanted[name] = versions[name]
 	}
-	return kept
+	return wanted
 }
 
-// askFor reports whether the peer has something that is not asked for yet.
-func (s *State) askFor(now time.Time, versions map[string]uint64) bool {
-	ask := false
-	for name, version := range s.wantedOf(versions) {
+// requestMissing records the objects to request from a peer with these versions and
+// reports whether there are any. It leaves out those that were requested within
+// fetchRetryInterval.
+func (s *State) requestMissing(now time.Time, versions map[string]uint64) bool {
+	missing := false
+	for name, version := range s.filterWanted(versions) {
 		if version <= s.objects.Get(name).Version {
 			continue
 		}
-		asked := s.asked[name]
-		if asked.version >= version && now.Sub(asked.at) < pullRetry {
+		last := s.requested[name]
+		if last.version >= version && now.Sub(last.at) < fetchRetryInterval {
 			continue
 		}
-		s.asked[name] = sentObject{version: version, at: now}
-		ask = true
+		s.requested[name] = timedVersion{version: version, at: now}
+		missing = true
 	}
-	return ask
+	return missing
 }
 
-func (s *State) tick(now time.Time) {
-	// The event that ends a connection can be dropped when the inbox is full.
+func (s *State) handleTick(now time.Time) {
+	// A PeerDown event can be lost when the inbox is full.
 	maps.DeleteFunc(s.peers, func(_ PeerID, p *peer) bool {
-		return now.Sub(p.heardAt) > peerForgottenAfter
+		return now.Sub(p.lastReceived) > peerExpiry
 	})
-	if now.Before(s.gossipAt) {
+	if now.Before(s.nextGossipAt) {
 		return
 	}
-	s.gossipAt = now.Add(GossipInterval)
+	s.nextGossipAt = now.Add(GossipInterval)
 	for _, id := range s.peerIDs() {
 		s.send(id, s.versionsFrame())
-		if s.accounts != nil {
-			s.send(id, &wire.Frame{Body: &wire.Frame_Accounts{Accounts: s.accounts}})
+		if s.usage != nil {
+			s.send(id, &wire.Frame{Body: &wire.Frame_Accounts{Accounts: s.usage}})
 		}
 	}
 }
 
-// checkReady ends the wait of a fresh process. A process that served at once
-// what the first peer told it could undo, for its own callers, a change that an
-// operator was told is in force.
+// checkReady ends the wait of a new process. A process that immediately served with the
+// objects of its first peer could undo, for its own callers, a change that an operator
+// was told is active.
 func (s *State) checkReady(now time.Time) {
 	if s.current.Confirmed {
 		return
@@ -318,26 +323,26 @@
 	s.current.Confirmed = s.storeConfirmed() || s.peersConfirmed()
 	s.current.Ready = s.current.Ready || s.current.Confirmed || now.Sub(s.startedAt) >= readyTimeout
 	if s.current.Confirmed {
-		s.heard = map[string]map[string]uint64{}
+		s.announced = map[string]map[string]uint64{}
 	}
 }
 
 func (s *State) storeConfirmed() bool {
 	for _, name := range s.objects.wanted {
-		if !s.confirmed[name] {
+		if !s.storeConfirmedObjects[name] {
 			return false
 		}
 	}
 	return true
 }
 
-// peersConfirmed reports whether enough processes have told their versions and
-// the highest of them are held.
+// peersConfirmed reports whether enough processes have announced their versions and this
+// process holds the highest of them.
 func (s *State) peersConfirmed() bool {
-	if len(s.heard) < readyPeers {
+	if len(s.announced) < readyPeerCount {
 		return false
 	}
-	for _, versions := range s.heard {
+	for _, versions := range s.announced {
 		for name, version := range versions {
 			if version > s.objects.Get(name).Version {
 				return false
--- a/internal/member/state_test.go
+++ b/internal/member/state_test.go
@@ -28,66 +28,65 @@
 }
 
 var _ = Describe("State", func() {
-	// The platform's list answers with nothing during an outage. Taking it for
-	// an empty fleet would refuse every caller.
+	// Guards against rejecting every caller: during an outage, the platform's VM list is
+	// empty, which must not be mistaken for an empty fleet.
 	It("keeps the last list when the list is empty or fails", func() {
 		s := member.NewState("seoul", epoch)
-		s.Step(epoch, member.Listed{VMs: []sharedstate.VM{entryVM(1)}})
+		s.Step(epoch, member.VMListRead{VMs: []sharedstate.VM{entryVM(1)}})
 		later := epoch.Add(time.Minute)
-		s.Step(later, member.Listed{})
-		s.Step(later, member.Listed{Err: errors.New("down")})
+		s.Step(later, member.VMListRead{})
+		s.Step(later, member.VMListRead{Err: errors.New("down")})
 		Expect(s.Snapshot().VMs).To(HaveLen(1))
 		Expect(s.Snapshot().ListAge(later)).To(Equal(time.Minute))
 	})
 
-	// An entry is replaced while the platform is out. It knows no backend server
-	// and no peer; a peer that knows it dials it. Without the peer's list its
-	// callers would be refused for as long as the outage lasts.
+	// Guards against an entry that rejects its callers for as long as an outage of the
+	// platform lasts: it was replaced during the outage, and knows neither a backend
+	// server nor a peer until a peer dials it and sends its list.
 	It("takes the VM list of a peer while its own is missing or old", func() {
-		fresh, peer := member.NewState("seoul", epoch), member.NewState("seoul", epoch)
-		peer.Step(epoch, member.Listed{VMs: []sharedstate.VM{entryVM(1), entryVM(2)}})
+		replaced, peer := member.NewState("seoul", epoch), member.NewState("seoul", epoch)
+		peer.Step(epoch, member.VMListRead{VMs: []sharedstate.VM{entryVM(1), entryVM(2)}})
 		now := epoch.Add(4 * time.Second)
-		asked := versionsSent(fresh.Step(now, member.PeerUp{Peer: 1, Process: "peer"}))
-		Expect(asked.GetWantsList()).To(BeTrue())
+		request := versionsSent(replaced.Step(now, member.PeerUp{Peer: 1, Process: "peer"}))
+		Expect(request.GetWantsList()).To(BeTrue())
 
-		answers := peer.Step(now, member.PeerVersions{Peer: 1, Process: "fresh", WantsList: true})
-		list := listSent(answers)
+		effects := peer.Step(now, member.PeerVersions{Peer: 1, Process: "fresh", WantsList: true})
+		list := listSent(effects)
 		Expect(list.GetVms()).To(HaveLen(2))
-		fresh.Step(now, member.PeerListed{VMs: []sharedstate.VM{entryVM(1), entryVM(2)}, Age: time.Duration(list.GetAgeMs()) * time.Millisecond})
-		Expect(fresh.Snapshot().VMs).To(HaveLen(2))
-		Expect(fresh.Snapshot().ListAge(now)).To(Equal(4 * time.Second))
+		replaced.Step(now, member.PeerVMList{VMs: []sharedstate.VM{entryVM(1), entryVM(2)}, Age: time.Duration(list.GetAgeMs()) * time.Millisecond})
+		Expect(replaced.Snapshot().VMs).To(HaveLen(2))
+		Expect(replaced.Snapshot().ListAge(now)).To(Equal(4 * time.Second))
 
-		fresh.Step(now, member.Listed{VMs: []sharedstate.VM{entryVM(3)}})
-		fresh.Step(now, member.PeerListed{VMs: []sharedstate.VM{entryVM(1)}})
-		Expect(fresh.Snapshot().VMs).To(ConsistOf(entryVM(3)))
+		replaced.Step(now, member.VMListRead{VMs: []sharedstate.VM{entryVM(3)}})
+		replaced.Step(now, member.PeerVMList{VMs: []sharedstate.VM{entryVM(1)}})
+		Expect(replaced.Snapshot().VMs).To(ConsistOf(entryVM(3)))
 	})
 
-	// A relay that was cut off sends what it held before. Callers would be
-	// served under a configuration that an operator has replaced.
-	It("never goes back to what a stale relay sends", func() {
+	// Guards against serving callers under a configuration that an operator has replaced:
+	// a peer that was partitioned sends the objects that it held before.
+	It("never goes back to an older object from a stale peer", func() {
 		s := member.NewState("seoul", epoch)
 		s.Step(epoch, member.StoreRead{Object: config(9)})
-		s.Step(epoch, member.Offered{Peer: 1, Object: config(8)})
+		s.Step(epoch, member.ObjectReceived{Peer: 1, Object: config(8)})
 		Expect(s.Snapshot().ConfigVersion).To(Equal(uint64(9)))
 		Expect(s.Snapshot().Config.WriteID).To(Equal("w9"))
 	})
 
-	// A process starts during an outage of the store, and the first peer that
-	// it hears has been cut off for a while. Serving at once would bring back
-	// a replaced configuration for its callers.
-	It("is not ready on the word of one stale peer", func() {
+	// Guards against serving callers under a replaced configuration: a process starts
+	// during an outage of the store, and its first peer has been partitioned for a while.
+	It("is not ready after the announcement of a single stale peer", func() {
 		s := member.NewState("seoul", epoch)
-		s.Step(epoch, member.Offered{Object: config(3)})
+		s.Step(epoch, member.ObjectReceived{Object: config(3)})
 		s.Step(epoch, member.PeerVersions{Process: "a", Versions: map[string]uint64{"fleetconfig": 3}})
 		Expect(s.Snapshot().Ready).To(BeFalse())
 		s.Step(epoch, member.PeerVersions{Process: "b", Versions: map[string]uint64{"fleetconfig": 5}})
 		Expect(s.Snapshot().Ready).To(BeFalse())
-		s.Step(epoch, member.Offered{Object: config(5)})
+		s.Step(epoch, member.ObjectReceived{Object: config(5)})
 		Expect(s.Snapshot().Ready).To(BeTrue())
 		Expect(s.Snapshot().Confirmed).To(BeTrue())
 	})
 
-	It("becomes ready without confirmation when nobody answers", func() {
+	It("becomes ready without confirmation after a timeout", func() {
 		s := member.NewState("seoul", epoch)
 		s.Step(epoch.Add(4*time.Second), member.Tick{})
 		Expect(s.Snapshot().Ready).To(BeFalse())
@@ -96,7 +95,7 @@
 		Expect(s.Snapshot().Confirmed).To(BeFalse())
 	})
 
-	It("is ready as soon as the store has answered for all objects", func() {
+	It("is ready as soon as all objects have been read from the store", func() {
 		s := member.NewState("seoul", epoch)
 		s.Step(epoch, member.StoreRead{Object: config(1)})
 		Expect(s.Snapshot().Ready).To(BeFalse())
@@ -104,9 +103,9 @@
 		Expect(s.Snapshot().Confirmed).To(BeTrue())
 	})
 
-	// A newer release writes an object that this one cannot read. Dropping the
-	// configuration in force would serve callers under none.
-	It("leaves the configuration in force when a newer one cannot be read", func() {
+	// Guards against serving callers without any configuration: a newer release writes an
+	// object that this one cannot decode.
+	It("keeps the active configuration when a newer one cannot be decoded", func() {
 		s := member.NewState("seoul", epoch)
 		s.Step(epoch, member.StoreRead{Object: config(1)})
 		s.Step(epoch, member.StoreRead{Object: sharedstate.Object{Name: "fleetconfig", Version: 2, Value: []byte("{")}})
@@ -125,7 +124,7 @@
 		})
 	}
 
-	It("has two watchers in each data centre and replaces one that leaves", func() {
+	It("has two watchers in each data centre and replaces a draining one", func() {
 		vms := fleet(30)
 		before := member.Watchers(vms, "dc-1")
 		Expect(before).To(HaveLen(2))
@@ -138,12 +137,12 @@
 		Expect(after).NotTo(ContainElement(before[0]))
 	})
 
-	DescribeTable("connects all entries by few links", func(count, most int) {
+	DescribeTable("connects all entries by few links", func(count, limit int) {
 		vms := fleet(count)
 		links := map[string][]string{}
 		for _, vm := range vms {
 			peers := member.Peers(vms, vm.Name)
-			Expect(len(peers)).To(BeNumerically("<=", most))
+			Expect(len(peers)).To(BeNumerically("<=", limit))
 			for _, p := range peers {
 				links[vm.Name] = append(links[vm.Name], p.Name)
 				links[p.Name] = append(links[p.Name], vm.Name)
@@ -160,14 +159,14 @@
 		}
 		Expect(reached).To(HaveLen(count))
 	},
-		Entry("today", 4, 3),
+		Entry("a small full mesh", 4, 3),
 		Entry("the largest full mesh", 8, 7),
-		Entry("more", 30, 6),
-		Entry("the target", 350, 6),
+		Entry("more entries", 30, 6),
+		Entry("the target fleet size", 350, 6),
 	)
 })
 
-// net is a network of States in virtual time.
+// network connects States by links in virtual time.
 type network struct {
 	t      *testing.T
 	random *rand.Rand
@@ -175,13 +174,13 @@
 	states []*member.State
 	links  [][2]int
 	cut    func(a, b int) bool
-	// cutFor counts the seconds that a link has been cut.
-	cutFor map[int]int
-	frames []frameUnderWay
-	bytes  map[string]int
+	// cutFor counts the seconds for which each link has been cut.
+	cutFor      map[int]int
+	frames      []frameInFlight
+	frameCounts map[string]int
 }
 
-type frameUnderWay struct {
+type frameInFlight struct {
 	link int
 	to   int
 	ev   member.Event
@@ -191,7 +190,7 @@
 func newNetwork(t *testing.T, seed uint64, vms []sharedstate.VM) *network {
 	n := &network{
 		t: t, random: rand.New(rand.NewPCG(seed, 1)), now: epoch,
-		cut: func(int, int) bool { return false }, cutFor: map[int]int{}, bytes: map[string]int{},
+		cut: func(int, int) bool { return false }, cutFor: map[int]int{}, frameCounts: map[string]int{},
 	}
 	index := map[string]int{}
 	for i, vm := range vms {
@@ -214,13 +213,13 @@
 func (n *network) step(at int, ev member.Event) {
 	for _, e := range n.states[at].Step(n.now, ev) {
 		if send, ok := e.(member.Send); ok {
-			n.carry(at, send)
+			n.transmit(at, send)
 		}
 	}
 }
 
-// redial closes the links that are silent for 5 s and opens those that can be
-// opened, once a second, as Member does.
+// redial, called once a second, closes links that have been cut for 5 s and reopens them
+// once they are no longer cut, as Member does.
 func (n *network) redial() {
 	const silentAfter = 5
 	for id, l := range n.links {
@@ -242,14 +241,14 @@
 	}
 }
 
-// carry puts a frame on its way, unless the link is cut.
-func (n *network) carry(from int, send member.Send) {
+// transmit puts a frame in flight, unless the link is cut.
+func (n *network) transmit(from int, send member.Send) {
 	l := n.links[send.Peer-1]
 	to := l[0] + l[1] - from
 	if n.cut(from, to) {
 		return
 	}
-	f := frameUnderWay{
+	f := frameInFlight{
 		link: int(send.Peer), to: to,
 		at: n.now.Add(time.Duration(1+n.random.IntN(20)) * time.Millisecond),
 	}
@@ -258,24 +257,24 @@
 		f.ev = member.PeerVersions{
 			Peer: send.Peer, Process: fmt.Sprint(from), Versions: send.Frame.GetVersions().GetVersions(),
 		}
-		n.bytes["versions"]++
+		n.frameCounts["versions"]++
 	case send.Frame.GetObject() != nil:
 		o := send.Frame.GetObject()
-		f.ev = member.Offered{Peer: send.Peer, Object: sharedstate.Object{
+		f.ev = member.ObjectReceived{Peer: send.Peer, Object: sharedstate.Object{
 			Name: o.GetName(), Version: o.GetVersion(), Value: o.GetValue(),
 		}}
-		n.bytes["objects"]++
+		n.frameCounts["objects"]++
 	}
 	n.frames = append(n.frames, f)
 }
 
-// run lets virtual time pass.
+// run advances virtual time and delivers frames.
 func (n *network) run(d time.Duration) {
 	const tick = 5 * time.Millisecond
 	for end := n.now.Add(d); n.now.Before(end); n.now = n.now.Add(tick) {
-		under := n.frames
+		inFlight := n.frames
 		n.frames = nil
-		for _, f := range under {
+		for _, f := range inFlight {
 			if f.at.After(n.now) {
 				n.frames = append(n.frames, f)
 				continue
@@ -295,8 +294,8 @@
 	return lo.CountBy(n.states, func(s *member.State) bool { return s.Snapshot().ConfigVersion == version })
 }
 
-// A change is accepted at one entry while links are cut, healed and cut again.
-// Wherever it does not arrive, callers go on under the old configuration.
+// Guards against entries that keep serving under an old configuration: a change reaches
+// one entry, or one side of a partition that heals later.
 func TestChangeIsInForceEverywhere(t *testing.T) {
 	vms := lo.Times(40, func(i int) sharedstate.VM {
 		vm := entryVM(i)
@@ -312,7 +311,7 @@
 			t.Fatalf("seed %d: %d of %d entries hold the change after 1 s", seed, got, len(vms))
 		}
 
-		// The two regions lose each other, and only one learns of a change.
+		// A partition separates the two regions, and only one gets a change.
 		n.cut = func(a, b int) bool { return a%2 != b%2 }
 		n.run(10 * time.Second)
 		n.step(1, member.StoreRead{Object: config(2)})
@@ -328,21 +327,21 @@
 	}
 }
 
-// Each entry has several peers that have a new plan. If each of them sent it,
-// the plan of a large fleet would cross every link, and control traffic would
-// pass its budget at each change.
+// Guards against control traffic that exceeds its budget at each change: each entry has
+// several peers that hold a new plan, and if each of them sent it, the plan of a large
+// fleet would cross every link.
 func TestObjectCrossesOnceToEachEntry(t *testing.T) {
 	vms := lo.Times(60, entryVM)
 	n := newNetwork(t, 1, vms)
 	n.run(time.Second)
 	n.step(0, member.StoreRead{Object: planObject(1)})
 	n.run(4 * time.Second)
-	if got := n.bytes["objects"]; got > len(vms)+len(vms)/10 {
+	if got := n.frameCounts["objects"]; got > len(vms)+len(vms)/10 {
 		t.Fatalf("%d copies sent to %d entries", got, len(vms)-1)
 	}
 }
 
-// versionsSent and listSent return what a step sends to a peer.
+// versionsSent and listSent return the first message of their kind that a step sends.
 func versionsSent(effects []member.Effect) *wire.Versions {
 	return sent(effects, (*wire.Frame).GetVersions)
 }
--- a/internal/member/status.go
+++ b/internal/member/status.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Status is the state of a Member, for people.
+// Status is the state of a Member, for operators.
 type Status struct {
 	Versions  map[string]uint64 `json:"versions"`
 	Ready     bool              `json:"ready"`
@@ -13,9 +13,9 @@
 	VMs       int               `json:"vms"`
 	// ListAge is the age of the VM list in seconds.
 	ListAge float64 `json:"list_age_seconds"`
-	// Watching says that this process watches the store for its data centre.
+	// Watching is set if this process watches the store for its data centre.
 	Watching bool `json:"watching"`
-	// Peers counts the links to other entries.
+	// Peers is the number of links to other entries.
 	Peers int `json:"peers"`
 }
 
--- a/internal/member/watch.go
+++ b/internal/member/watch.go
@@ -12,21 +12,21 @@
 
 // The timing of reads and watches.
 const (
-	// watchAttempt bounds one watch. A connection that has gone silent hides
-	// every later change, and cannot be told from an object that does not
-	// change; a new watch every few seconds bounds how long.
-	watchAttempt = 3 * time.Second
-	// backstop is how often an entry that does not watch reads the objects all
-	// the same: both watchers of its data centre may be gone, with the VM list
-	// still showing them.
-	backstop = 30 * time.Second
-	// roleCheck is how often an entry looks whether it is to watch.
-	roleCheck = time.Second
-	// settleTimeout bounds the wait for an object to come into force here.
-	settleTimeout = time.Second
-	// firstRetry and longestRetry bound the pauses after a failed read.
-	firstRetry   = 200 * time.Millisecond
-	longestRetry = 3 * time.Second
+	// watchTimeout bounds one watch. A dead connection hides every later change and
+	// looks the same as an object that does not change; a new watch every few seconds
+	// bounds how long.
+	watchTimeout = 3 * time.Second
+	// fallbackReadInterval is how often an entry that does not watch reads the objects
+	// itself: both watchers of its data centre may be gone while the VM list still
+	// shows them.
+	fallbackReadInterval = 30 * time.Second
+	// roleCheckInterval is how often an entry checks whether it is a watcher.
+	roleCheckInterval = time.Second
+	// applyTimeout bounds the wait until a new object is in the Snapshot.
+	applyTimeout = time.Second
+	// minRetryPause and maxRetryPause bound the pauses after a failed read.
+	minRetryPause = 200 * time.Millisecond
+	maxRetryPause = 3 * time.Second
 )
 
 // lister reads the VM list.
@@ -45,17 +45,17 @@
 			m.metrics.listFailed.Inc(1)
 		case len(vms) == 0:
 			m.metrics.listEmpty.Inc(1)
-			log.Warn("VM list is empty; the last one is kept")
+			log.Warn("VM list is empty, keeping the last one")
 		}
-		m.inbox.Put(Listed{VMs: vms, Err: err})
-		if !pause.Sleep(ctx, spread(m.config.ListInterval, l.random)) {
+		m.inbox.Put(VMListRead{VMs: vms, Err: err})
+		if !pause.Sleep(ctx, jitter(m.config.ListInterval, l.random)) {
 			return ctx.Err()
 		}
 	}
 }
 
-// watcher reads one object when the process starts, and watches it when the
-// process is one of the watchers of its data centre.
+// watcher reads one object when the process starts, and watches it while the process is
+// one of the watchers of its data centre.
 type watcher struct {
 	member *Member
 	name   string
@@ -69,8 +69,8 @@
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	pauses := pause.Backoff{Initial: firstRetry, Max: longestRetry}
-	readAt := time.Now().Add(spread(backstop, w.random))
+	pauses := pause.Backoff{Initial: minRetryPause, Max: maxRetryPause}
+	readAt := time.Now().Add(jitter(fallbackReadInterval, w.random))
 	for ctx.Err() == nil {
 		if w.member.watching() {
 			if w.watch(ctx) {
@@ -82,17 +82,17 @@
 		}
 		if time.Now().After(readAt) {
 			w.read(ctx)
-			readAt = time.Now().Add(spread(backstop, w.random))
+			readAt = time.Now().Add(jitter(fallbackReadInterval, w.random))
 		}
-		pause.Sleep(ctx, spread(roleCheck, w.random))
+		pause.Sleep(ctx, jitter(roleCheckInterval, w.random))
 	}
 	return ctx.Err()
 }
 
-// readFirst reads the object until the store has answered or the process has
-// become ready without it.
+// readFirst reads the object, with retries, until the store responds or the process is
+// ready without it.
 func (w *watcher) readFirst(ctx context.Context) {
-	pauses := pause.Backoff{Initial: firstRetry, Max: longestRetry}
+	pauses := pause.Backoff{Initial: minRetryPause, Max: maxRetryPause}
 	for !w.read(ctx) {
 		if w.member.Snapshot().Ready || !pause.Sleep(ctx, pauses.Next(w.random)) {
 			return
@@ -106,9 +106,10 @@
 	return err == nil
 }
 
-// watch makes one attempt and reports whether the store is well.
+// watch makes one watch call. It reports whether the store is considered healthy, which
+// includes a watch that times out.
 func (w *watcher) watch(ctx context.Context) bool {
-	attempt, cancel := context.WithTimeout(ctx, watchAttempt)
+	attempt, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
 	held := w.member.Snapshot().objects.Get(w.name).Version
 	o, err := w.member.store.Watch(attempt, w.name, held)
@@ -116,14 +117,14 @@
 		return attempt.Err() != nil
 	}
 	w.member.inbox.Put(StoreRead{Object: o})
-	w.settle(ctx, o.Version)
+	w.waitApplied(ctx, o.Version)
 	return true
 }
 
-// settle waits a moment until the object is in force here, so that the next
-// watch does not return the same version at once.
-func (w *watcher) settle(ctx context.Context, version uint64) {
-	until := time.Now().Add(settleTimeout)
+// waitApplied waits up to applyTimeout until the object is in the Snapshot, so that the
+// next watch does not immediately return the same version.
+func (w *watcher) waitApplied(ctx context.Context, version uint64) {
+	until := time.Now().Add(applyTimeout)
 	for time.Now().Before(until) && w.member.Snapshot().objects.Get(w.name).Version < version {
 		if !pause.Sleep(ctx, time.Millisecond) {
 			return
--- a/internal/member/watch_test.go
+++ b/internal/member/watch_test.go
@@ -15,8 +15,7 @@
 	"pistachioroad.dev/pistachioroad/internal/sharedstate"
 )
 
-// countedPlatform counts calls by the tenth of a second, and can let watches go
-// silent.
+// countedPlatform counts the calls in each tenth of a second, and can make watches hang.
 type countedPlatform struct {
 	*fakePlatform
 
@@ -57,19 +56,19 @@
 	p.calls = map[int64]int{}
 }
 
-// busiest returns the most calls in a tenth of a second.
+// busiest returns the maximum number of calls in a tenth of a second.
 func (p *countedPlatform) busiest() int {
 	p.counting.Lock()
 	defer p.counting.Unlock()
-	most := 0
+	highest := 0
 	for _, n := range p.calls {
-		most = max(most, n)
+		highest = max(highest, n)
 	}
-	return most
+	return highest
 }
 
-// startWatchers runs entries that all watch: two in each data centre. They have
-// no link addresses, so that the store is all they hear of.
+// startWatchers runs entries that all watch: two in each data centre. They have no link
+// addresses, so that the store is their only source.
 func startWatchers(ctx context.Context, p *countedPlatform, count int) []*member.Member {
 	members := []*member.Member{}
 	for n := range count {
@@ -108,8 +107,8 @@
 	return held
 }
 
-// The watchers' connections go silent, as if nothing changed. An operator's
-// change would wait until somebody notices that it is not in force.
+// Guards against a change that is never applied: the watchers' connections are dead,
+// which looks the same as if nothing changed.
 func TestSilentWatchIsReplaced(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, p *countedPlatform) {
 		p.setSilent(true)
@@ -122,10 +121,10 @@
 	})
 }
 
-// The store comes back after an outage in which an operator's change was made
-// through another path. All watchers at once would push it over its rate and
-// bring the outage back; too slow a return leaves callers under the old
-// configuration.
+// Guards against a thundering herd after an outage of the store, during which an operator
+// made a change on another path: if all watchers retried together, they would exceed the
+// store's call rate and cause another outage; if they retried too slowly, callers would be
+// served under the old configuration.
 func TestWatchersResumeWithoutStampede(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, p *countedPlatform) {
 		const watchers = 40
@@ -138,7 +137,7 @@
 		p.setDown(false)
 		time.Sleep(4 * time.Second)
 		g.Expect(versions(members)).To(HaveEach(uint64(2)))
-		// Two objects each: 80 calls if all came together.
+		// Two objects each: 80 calls if all retried together.
 		g.Expect(p.busiest()).To(BeNumerically("<", watchers/2))
 		for _, m := range members {
 			g.Expect(m.Snapshot().VMs).To(HaveLen(watchers))
@@ -147,8 +146,8 @@
 	})
 }
 
-// Both watchers of a data centre are gone and the list still shows them. The
-// other entries must not wait for them for ever.
+// Guards against entries that never learn of a change: both watchers of their data centre
+// are gone while the VM list still shows them.
 func TestEntriesThatDoNotWatchReadNowAndThen(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, p *countedPlatform) {
 		p.vms = []sharedstate.VM{}
--- a/internal/sharedstate/circuit.go
+++ b/internal/sharedstate/circuit.go
@@ -7,20 +7,19 @@
 	"pistachioroad.dev/pistachioroad/internal/pause"
 )
 
-// The thresholds of the circuit.
+// The thresholds of the circuit breaker.
 const (
-	// failuresToOpen is how many calls in a row must fail before calls are
-	// refused at once. One or two lost connections are not an outage.
+	// failuresToOpen is how many consecutive calls must fail before the circuit opens.
+	// One or two lost connections are not an outage.
 	failuresToOpen = 3
-	// firstPause and longestPause bound the time between two attempts during
-	// an outage.
-	firstPause   = 200 * time.Millisecond
-	longestPause = 1500 * time.Millisecond
+	// minPause and maxPause bound the time between two probes during an outage.
+	minPause = 200 * time.Millisecond
+	maxPause = 1500 * time.Millisecond
 )
 
-// circuit refuses calls while the platform is down, but for one attempt per
+// circuitBreaker rejects calls while the platform is down, except for one probe per
 // pause.
-type circuit struct {
+type circuitBreaker struct {
 	random  *rand.Rand
 	backoff pause.Backoff
 
@@ -32,17 +31,17 @@
 	lastAnswer time.Time
 }
 
-func newCircuit(now time.Time, random *rand.Rand) *circuit {
-	return &circuit{
+func newCircuitBreaker(now time.Time, random *rand.Rand) *circuitBreaker {
+	return &circuitBreaker{
 		random:  random,
-		backoff: pause.Backoff{Initial: firstPause, Max: longestPause},
+		backoff: pause.Backoff{Initial: minPause, Max: maxPause},
 		up:      true,
 		since:   now,
 	}
 }
 
 // allow reports whether a call may be made now.
-func (c *circuit) allow(now time.Time) bool {
+func (c *circuitBreaker) allow(now time.Time) bool {
 	if c.closed() {
 		return true
 	}
@@ -53,19 +52,19 @@
 	return true
 }
 
-// allowWatch reports whether a watch may be made now. As the one attempt of a
-// pause it would wait for a change, tell nothing when it ends without one, and
-// keep every other call out meanwhile; the platform would look down long after
-// it is back.
-func (c *circuit) allowWatch(time.Time) bool { return c.closed() }
+// allowWatch reports whether a watch may be made now. A watch is never a probe: it would
+// wait for a change, prove nothing if it ended without one, and block every other call
+// meanwhile, so that the platform would look down long after it has recovered.
+func (c *circuitBreaker) allowWatch(time.Time) bool { return c.closed() }
 
-// closed reports whether calls pass freely.
-func (c *circuit) closed() bool { return c.failures < failuresToOpen }
+// closed reports whether all calls are allowed.
+func (c *circuitBreaker) closed() bool { return c.failures < failuresToOpen }
 
-// abandoned takes back a call that told nothing about the platform.
-func (c *circuit) abandoned() { c.probing = false }
+// abandonProbe ends a call that showed nothing about the platform, so that another one
+// can be the probe.
+func (c *circuitBreaker) abandonProbe() { c.probing = false }
 
-func (c *circuit) succeeded(now time.Time) {
+func (c *circuitBreaker) succeeded(now time.Time) {
 	c.probing = false
 	c.failures = 0
 	c.backoff.Reset()
@@ -73,7 +72,7 @@
 	c.setUp(now, true)
 }
 
-func (c *circuit) failed(now time.Time) {
+func (c *circuitBreaker) failed(now time.Time) {
 	c.probing = false
 	c.failures++
 	if c.failures < failuresToOpen {
@@ -83,13 +82,13 @@
 	c.setUp(now, false)
 }
 
-func (c *circuit) setUp(now time.Time, up bool) {
+func (c *circuitBreaker) setUp(now time.Time, up bool) {
 	if c.up != up {
 		c.up = up
 		c.since = now
 	}
 }
 
-func (c *circuit) health() Health {
+func (c *circuitBreaker) health() Health {
 	return Health{Up: c.up, Since: c.since, LastAnswer: c.lastAnswer, RetryAt: c.retryAt}
 }
--- a/internal/sharedstate/client.go
+++ b/internal/sharedstate/client.go
@@ -20,52 +20,52 @@
 
 // The timing of calls.
 const (
-	// tokenWait is how long a call waits for its share of the call rate. Claims
-	// that wait share the next update, so that waiting costs less than refusing.
-	tokenWait = time.Second
-	// defaultCallsPerSecond is the call rate of a process that sets none.
+	// rateWaitTimeout is how long a call waits for the rate limiter. Claims that wait
+	// are combined into the next update, so that waiting costs less than rejecting.
+	rateWaitTimeout = time.Second
+	// defaultCallsPerSecond is the call rate of a process that does not set one.
 	defaultCallsPerSecond = 20
 )
 
 // VMsKind is the kind of the objects that make up the VM list, one for each VM.
 const VMsKind = "vms"
 
-// ClientConfig is what a Client is made of.
+// ClientConfig is the configuration of a Client.
 type ClientConfig struct {
 	// Store is the metadata store.
 	Store store.Store
 	// CallsPerSecond is this process's share of the store's call rate.
 	CallsPerSecond float64
-	// Random spreads retries. Nil: a random seed.
+	// Random adds jitter to retries; nil means a random seed.
 	Random *rand.Rand
-	// Now tells the time. Nil: time.Now.
+	// Now returns the time; nil means time.Now.
 	Now func() time.Time
 }
 
-// Health is what a Client knows about the platform.
+// Health is the state of the platform as seen by a Client.
 type Health struct {
-	// Up says that the last call that was answered or failed was answered.
+	// Up is false from the failure that opens the circuit until the platform responds.
 	Up bool `json:"up"`
 	// Since is when Up last changed.
 	Since time.Time `json:"since"`
-	// LastAnswer is when the platform last answered.
+	// LastAnswer is when the platform last responded.
 	LastAnswer time.Time `json:"last_answer"`
-	// RetryAt is when the next call is tried while the platform is down.
+	// RetryAt is the earliest time of the next probe while the platform is down.
 	RetryAt time.Time `json:"retry_at"`
 }
 
-// Client calls the metadata store within this process's share of its rate, and
-// leaves it alone while it is down. It implements Store and VMList and may be
-// used by any goroutine.
+// Client calls the metadata store within this process's share of the call rate. While
+// the store is down, it only probes it. It implements Store and VMList and is safe for
+// concurrent use.
 type Client struct {
 	store store.Store
 	rate  *rate.Limiter
 	reads singleflight.Group
 	now   func() time.Time
 
-	guard   sync.Mutex
-	circuit *circuit
-	seen    map[string]sighting
+	mu       sync.Mutex
+	breaker  *circuitBreaker
+	lastSeen map[string]observation
 
 	metrics clientMetrics
 }
@@ -97,7 +97,7 @@
 	}
 }
 
-// NewClient returns a Client that has not called yet.
+// NewClient returns a Client whose circuit is closed.
 func NewClient(config ClientConfig) *Client {
 	if config.CallsPerSecond <= 0 {
 		config.CallsPerSecond = defaultCallsPerSecond
@@ -110,23 +110,23 @@
 	}
 	burst := max(1, int(config.CallsPerSecond))
 	return &Client{
-		store:   config.Store,
-		rate:    rate.NewLimiter(rate.Limit(config.CallsPerSecond), burst),
-		now:     config.Now,
-		circuit: newCircuit(config.Now(), config.Random),
-		seen:    make(map[string]sighting),
-		metrics: newClientMetrics(),
+		store:    config.Store,
+		rate:     rate.NewLimiter(rate.Limit(config.CallsPerSecond), burst),
+		now:      config.Now,
+		breaker:  newCircuitBreaker(config.Now(), config.Random),
+		lastSeen: make(map[string]observation),
+		metrics:  newClientMetrics(),
 	}
 }
 
-// Health returns what is known about the platform now.
+// Health returns the current state of the platform as seen by c.
 func (c *Client) Health() Health {
-	c.guard.Lock()
-	defer c.guard.Unlock()
-	return c.circuit.health()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.breaker.health()
 }
 
-// Get implements Store. Equal reads at the same time share one call.
+// Get implements Store. Concurrent reads of the same object share one call.
 func (c *Client) Get(ctx context.Context, name string) (Object, error) {
 	shared := c.reads.DoChan(name, func() (any, error) {
 		c.metrics.gets.Inc(1)
@@ -146,12 +146,12 @@
 	}
 }
 
-// location is where the store has an object.
+// location is the kind and name of an object in the store.
 type location struct{ kind, name string }
 
-// split returns the location of an object: its kind is what stands before the
-// first slash, so that a watch of one kind does not hear the changes of others.
-func split(name string) location {
+// parseName returns the location of an object. Its kind is the part before the first
+// slash, so that a watch of one kind does not return the changes of others.
+func parseName(name string) location {
 	kind, rest, ok := strings.Cut(name, "/")
 	if !ok {
 		return location{kind: name, name: name}
@@ -163,8 +163,8 @@
 	return Object{Name: name, Version: uint64(o.Revision), Value: o.Spec}
 }
 
-// unavailable is the error of a read that failed.
-func unavailable(err error) error {
+// readError returns the error to report for a failed read.
+func readError(err error) error {
 	if errors.Is(err, ErrNotSent) {
 		return err
 	}
@@ -177,14 +177,14 @@
 		return 0, eris.Wrapf(ErrNotSent, "value of %d bytes", len(value))
 	}
 	c.metrics.puts.Inc(1)
-	if err := c.admit(ctx, c.circuit.allow); err != nil {
+	if err := c.admit(ctx, c.breaker.allow); err != nil {
 		return 0, err
 	}
-	// A read that began before this write must not answer one that begins
+	// A read that started before this write must not be shared with one that starts
 	// after it: the writer would look for its own write in an older value.
 	defer c.reads.Forget(name)
 	c.metrics.bytesOut.Inc(int64(len(value)))
-	o, err := c.write(ctx, split(name), version, value)
+	o, err := c.write(ctx, parseName(name), version, value)
 	c.record(ctx, err)
 	switch {
 	case err == nil:
@@ -207,24 +207,23 @@
 	return c.store.Update(ctx, at.kind, at.name, int64(version), json.RawMessage(value))
 }
 
-// VMs implements VMList. An entry that cannot be read is left out; the others
-// hold.
+// VMs implements VMList. An item that cannot be decoded is skipped.
 func (c *Client) VMs(ctx context.Context) ([]VM, error) {
 	c.metrics.lists.Inc(1)
-	if err := c.admit(ctx, c.circuit.allow); err != nil {
+	if err := c.admit(ctx, c.breaker.allow); err != nil {
 		return nil, err
 	}
 	listing, err := c.store.List(ctx, VMsKind, store.Stale)
 	c.record(ctx, err)
 	if err != nil {
-		return nil, unavailable(err)
+		return nil, readError(err)
 	}
 	vms := []VM{}
 	for _, o := range listing.Objects {
 		c.metrics.bytesIn.Inc(int64(len(o.Spec)))
 		var vm VM
 		if err := json.Unmarshal(o.Spec, &vm); err != nil {
-			log.WithField("vm", o.Name).WithField("error", err.Error()).Warn("entry of the VM list left out")
+			log.WithField("vm", o.Name).WithField("error", err.Error()).Warn("VM cannot be decoded, leaving it out of the VM list")
 			continue
 		}
 		vms = append(vms, vm)
@@ -232,72 +231,72 @@
 	return vms, nil
 }
 
-// admit takes the call's share of the rate, and refuses it at once while the
-// platform is down. Calls that each ran into their timeout during an outage
-// would pile up, and all start again together at its end.
-// Pass is the circuit's rule for this kind of call.
-func (c *Client) admit(ctx context.Context, pass func(time.Time) bool) error {
-	c.guard.Lock()
-	allowed := pass(c.now())
-	c.guard.Unlock()
+// admit waits for the rate limiter, and rejects the call immediately while the platform
+// is down. Otherwise calls would pile up during an outage, each until its timeout, and
+// all be retried together at its end. Allow is the circuit breaker's rule for this kind
+// of call.
+func (c *Client) admit(ctx context.Context, allow func(time.Time) bool) error {
+	c.mu.Lock()
+	allowed := allow(c.now())
+	c.mu.Unlock()
 	if !allowed {
 		c.metrics.refused.Inc(1)
 		return eris.Wrap(ErrNotSent, "the platform is down")
 	}
-	waiting, cancel := context.WithTimeout(ctx, tokenWait)
+	waiting, cancel := context.WithTimeout(ctx, rateWaitTimeout)
 	defer cancel()
 	if err := c.rate.Wait(waiting); err != nil {
 		c.metrics.refused.Inc(1)
-		c.abandon()
+		c.abandonProbe()
 		return eris.Wrap(ErrNotSent, "over this process's call rate")
 	}
 	return nil
 }
 
-func (c *Client) abandon() {
-	c.guard.Lock()
-	defer c.guard.Unlock()
-	c.circuit.abandoned()
+func (c *Client) abandonProbe() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.breaker.abandonProbe()
 }
 
-// record tells the circuit how a call ended. A call that its own caller gave
-// up says nothing about the store.
+// record reports the result of a call to the circuit breaker. A call that ended because
+// its ctx did shows nothing about the store.
 func (c *Client) record(ctx context.Context, err error) {
-	if !answered(err) && ctx.Err() != nil {
-		c.abandon()
+	if !storeResponded(err) && ctx.Err() != nil {
+		c.abandonProbe()
 		return
 	}
-	c.guard.Lock()
-	defer c.guard.Unlock()
-	if answered(err) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if storeResponded(err) {
 		c.metrics.answered.Inc(1)
-		c.circuit.succeeded(c.now())
+		c.breaker.succeeded(c.now())
 		return
 	}
 	c.metrics.failed.Inc(1)
-	c.circuit.failed(c.now())
+	c.breaker.failed(c.now())
 }
 
-// answered reports whether the store is well: it did what it was asked, or said
-// why it cannot.
-func answered(err error) bool {
+// storeResponded reports whether the store is healthy: it executed the call, or rejected
+// it for a reason other than an overload or outage.
+func storeResponded(err error) bool {
 	return err == nil || errors.Is(err, store.ErrConflict) ||
 		errors.Is(err, store.ErrNotFound) || errors.Is(err, store.ErrCompacted)
 }
 
 func (c *Client) read(ctx context.Context, name string) (Object, error) {
 	o := Object{Name: name}
-	if err := c.admit(ctx, c.circuit.allow); err != nil {
+	if err := c.admit(ctx, c.breaker.allow); err != nil {
 		return o, err
 	}
-	at := split(name)
+	at := parseName(name)
 	found, err := c.store.Get(ctx, at.kind, at.name)
 	c.record(ctx, err)
 	switch {
 	case errors.Is(err, store.ErrNotFound):
 		return o, nil
 	case err != nil:
-		return o, unavailable(err)
+		return o, readError(err)
 	}
 	c.metrics.bytesIn.Inc(int64(len(found.Spec)))
 	return decode(name, found), nil
--- a/internal/sharedstate/merge_test.go
+++ b/internal/sharedstate/merge_test.go
@@ -12,8 +12,8 @@
 	"pistachioroad.dev/pistachioroad/internal/store"
 )
 
-// slowStore answers each call after a while and counts them. Only what these
-// tests call is there.
+// slowStore delays and counts the calls. It implements only the methods that these tests
+// use.
 type slowStore struct {
 	store.Store
 	calls    atomic.Int32
@@ -36,9 +36,8 @@
 	return s.answer()
 }
 
-// Many duties of a process read the same object when it starts. Each of them
-// counts against the rate that all processes share, and a process over its
-// share reads nothing for a while.
+// Guards against a process that exceeds its share of the call rate when it starts, and
+// then cannot read anything for a while: many of its duties read the same object.
 func TestEqualReadsShareOneCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		back := &slowStore{}
@@ -59,8 +58,8 @@
 	})
 }
 
-// A read that began before a write must not answer one that begins after it: a
-// writer whose reply was lost would look for its write in an older value.
+// Guards against a writer whose reply was lost and that looks for its write in an older
+// value: a read that starts after the write must not share the call of an earlier one.
 func TestReadAfterWriteIsItsOwnCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		back := &slowStore{slowGets: time.Second / 2}
--- a/internal/sharedstate/sharedstate.go
+++ b/internal/sharedstate/sharedstate.go
@@ -1,8 +1,8 @@
-// Package sharedstate is what the processes of the own interface share through
-// the metadata store: named objects that keep all that must last, changed by
-// conditional writes of certain outcome, and the VM list. It calls the store
-// within each process's share of its call rate, and leaves it alone during an
-// outage.
+// Package sharedstate gives the processes of the sidecar deployment access to their
+// shared state in the metadata store: named objects with all state that must persist,
+// changed by conditional updates whose outcome is determined even if a reply is lost,
+// and the VM list. Each process keeps to its share of the store's call rate, and makes
+// almost no calls during an outage.
 package sharedstate
 
 import (
@@ -18,20 +18,21 @@
 	Value   []byte
 }
 
-// MaxValue is the largest value in bytes that the store takes.
+// MaxValue is the maximum size of a value in bytes.
 const MaxValue = 1 << 20
 
 // The errors of a Store.
 var (
-	// ErrConflict says that the object has another version: the update did
+	// ErrConflict means that the object has another version, so that the update did
 	// not take effect.
 	ErrConflict = eris.New("object has another version")
-	// ErrNotSent says that the store was not asked, so nothing took effect.
+	// ErrNotSent means that the call was not sent, or was rejected by the store, so
+	// that nothing took effect.
 	ErrNotSent = eris.New("store not asked")
-	// ErrUnknown says that an update may take effect, now or later: its reply
-	// was lost. Settle finds out.
+	// ErrUnknown means that an update may take effect, now or later, since its reply
+	// was lost. Write determines the outcome.
 	ErrUnknown = eris.New("outcome of the update is unknown")
-	// ErrUnavailable says that a read failed.
+	// ErrUnavailable means that a read failed.
 	ErrUnavailable = eris.New("store unavailable")
 )
 
@@ -44,12 +45,12 @@
 	// it does not exist) and returns the new version, which is higher. It
 	// returns ErrConflict, ErrNotSent or ErrUnknown.
 	Put(ctx context.Context, name string, version uint64, value []byte) (uint64, error)
-	// Watch waits until the object has a version above after, or until ctx
-	// ends, and returns it.
+	// Watch waits until the object has a version above after and returns it. It
+	// returns an error if a call fails or ctx ends.
 	Watch(ctx context.Context, name string, after uint64) (Object, error)
 }
 
-// VMKind says what runs on a VM.
+// VMKind is the kind of process that runs on a VM.
 type VMKind string
 
 // The kinds of VM.
@@ -58,27 +59,27 @@
 	VMBackend VMKind = "backend"
 )
 
-// VM is one line of the VM list.
+// VM is one item of the VM list.
 type VM struct {
 	Name       string `json:"name"`
 	Kind       VMKind `json:"kind"`
 	Region     string `json:"region"`
 	DataCentre string `json:"data_centre"`
-	// LinkAddress is where a sidecar takes links, or an entry takes peers.
+	// LinkAddress is where a sidecar accepts links, or an entry those of its peers.
 	LinkAddress string `json:"link_address"`
 	// OperatorAddress serves health, metrics and the state dump.
 	OperatorAddress string `json:"operator_address"`
-	// Service is what the backend server answers for: "models" or the name of
-	// a plain service.
+	// Service is the service of the backend server: ServiceModels or the name of a
+	// plain service.
 	Service string `json:"service,omitempty"`
-	// Leaving VMs get no new work.
+	// Draining is set for a VM that gets no new requests because it is about to leave.
 	Draining bool `json:"leaving,omitempty"`
 }
 
 // ServiceModels is the Service of a VM with a model engine.
 const ServiceModels = "models"
 
-// VMList shows the VMs, with a lag.
+// VMList returns all VMs. It may lag behind the actual state.
 type VMList interface {
 	VMs(ctx context.Context) ([]VM, error)
 }
--- a/internal/sharedstate/sharedstate_test.go
+++ b/internal/sharedstate/sharedstate_test.go
@@ -32,7 +32,7 @@
 	RunSpecs(t, "sharedstate")
 }
 
-// serve starts an object API that answers by handler, and a Client of it.
+// serve starts an object API that is served by handler, and returns a Client of it.
 func serve(handler http.HandlerFunc, config sharedstate.ClientConfig) *sharedstate.Client {
 	server := httptest.NewServer(handler)
 	DeferCleanup(server.Close)
@@ -58,7 +58,7 @@
 var _ = Describe("Client.Put", func() {
 	ctx := context.Background()
 
-	DescribeTable("tells apart what is certain and what is not",
+	DescribeTable("distinguishes certain outcomes from unknown ones",
 		func(handler http.HandlerFunc, want error) {
 			_, err := serve(handler, sharedstate.ClientConfig{}).Put(ctx, "a/b", 3, []byte(`"x"`))
 			Expect(errors.Is(err, want)).To(BeTrue(), "got %v", err)
@@ -73,7 +73,7 @@
 		Entry("lost reply", http.HandlerFunc(loseReply), sharedstate.ErrUnknown),
 	)
 
-	It("is not sent when nobody listens", func() {
+	It("is not sent when the connection is refused", func() {
 		client := sharedstate.NewClient(sharedstate.ClientConfig{Store: platform.NewStore("127.0.0.1:1")})
 		_, err := client.Put(ctx, "a", 0, []byte(`"x"`))
 		Expect(errors.Is(err, sharedstate.ErrNotSent)).To(BeTrue(), "got %v", err)
@@ -105,10 +105,9 @@
 })
 
 var _ = Describe("Client in an outage", func() {
-	// The platform is down and every process goes on asking. Without a pause
-	// the calls pile up in each process, callers wait for them in vain, and at
-	// the end of the outage they all arrive together.
-	It("refuses calls at once and tries one again after a pause", func() {
+	// Guards against calls that pile up in every process while the platform is down: callers
+	// wait for them in vain, and at the end of the outage they all arrive together.
+	It("rejects calls immediately and probes after a pause", func() {
 		var calls atomic.Int32
 		var down atomic.Bool
 		down.Store(true)
@@ -153,15 +152,16 @@
 	})
 })
 
-var _ = Describe("Client over silent connections", func() {
-	// Something between the two ends has lost track of the open connections:
-	// nothing arrives on them any more, while new ones work. A client that
-	// keeps to its open connections sees an outage that nobody else has.
+var _ = Describe("Client over dead connections", func() {
+	// Guards against a client that sees an outage of its own: a device on the network path
+	// has dropped the state of the open connections, so that nothing arrives on them any
+	// more while new ones work.
 	It("opens a new connection after a timeout", func() {
 		const readers = 4
 		var hang, healed atomic.Bool
 		var silent sync.Map
-		// Readers meet, so that each has a connection and none is left unused.
+		// The handlers wait for each other, so that each reader opens a connection and
+		// none is left unused.
 		var met sync.WaitGroup
 		met.Add(readers)
 		done := make(chan struct{})
--- a/internal/sharedstate/watch_test.go
+++ b/internal/sharedstate/watch_test.go
@@ -17,11 +17,10 @@
 )
 
 var _ = Describe("Watch", func() {
-	// The platform was out and is back. A watch that is let through as the one
-	// attempt waits for a change that does not come, and every other call is
-	// refused meanwhile: operators are told that the store is out long after it
-	// is well.
-	It("is not the attempt that finds out whether the platform is back", func() {
+	// Guards against operators being told that the store is down long after it has
+	// recovered: a watch that is the probe waits for a change that does not come, and
+	// every other call is rejected meanwhile.
+	It("is not used as the probe after an outage", func() {
 		var watches atomic.Int64
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Query().Has("watch") {
@@ -45,10 +44,10 @@
 		Expect(watches.Load()).To(BeZero())
 	})
 
-	// The store keeps the history of some seconds, and the configuration was
-	// changed last week. A watch from there is refused for good; unless it goes
-	// on from somewhere else, a change is seen by the next full read only.
-	It("sees a change of an object whose own history is gone", func(ctx SpecContext) {
+	// Guards against a change that is seen only by the next full read: the store keeps the
+	// history of some seconds, the configuration changed last week, and a watch from that
+	// revision fails permanently.
+	It("sees a change of an object whose own history is compacted", func(ctx SpecContext) {
 		store := objectstore.New()
 		server := httptest.NewServer(store)
 		DeferCleanup(server.Close)
--- a/internal/sharedstate/write.go
+++ b/internal/sharedstate/write.go
@@ -14,19 +14,19 @@
 	"pistachioroad.dev/pistachioroad/internal/pause"
 )
 
-// Outcome says what became of a write.
+// Outcome is the outcome of a write.
 type Outcome uint8
 
 // The outcomes of a write.
 const (
-	// StillUnknown says that the write may take effect, now or later.
+	// OutcomeUnknown means that the write may take effect, now or later.
 	OutcomeUnknown Outcome = iota
-	// Applied says that the write took effect.
+	// Applied means that the write took effect.
 	Applied
-	// NotApplied says that the write did not take effect and never will.
+	// NotApplied means that the write did not take effect and never will.
 	NotApplied
-	// Superseded says that another write is in force, so that this one cannot
-	// take effect any more; it may have been in force before.
+	// Superseded means that another write has replaced the value, so that this one
+	// cannot take effect any more; it may have been applied before.
 	Superseded
 )
 
@@ -44,7 +44,7 @@
 	}
 }
 
-// Call is a call of the store that a Write asks for.
+// Call is a call of the store that a Write requests.
 type Call uint8
 
 // The calls of a Write.
@@ -54,17 +54,18 @@
 	CallGet
 )
 
-// Write is one conditional update, followed until its outcome is certain. It
-// is a state machine without clock or I/O: make the call that Next names and
-// report how it ended, until Next is CallNone.
+// Write is one conditional update, retried until its outcome is certain. It is a state
+// machine without clock or I/O: make the call that NextCall returns and report its result,
+// until NextCall is CallNone.
 //
-// A reply can be lost while the update takes effect, at once or later. Reading
-// the object and not finding the update proves nothing while its version is
-// the one written against: the update may be on its way. Write then sends the
-// same update again, from the same version. Only one of the two can succeed,
-// and whichever does, the other can no longer take effect.
+// A reply can be lost although the update takes effect, immediately or later. Reading
+// the object without finding the update proves nothing while its version is still the
+// base version: the update may be in flight. Write then sends the same update again,
+// with the same base version. Only one of the two can succeed, and after that the other
+// can no longer take effect.
 type Write struct {
-	// Name, Base and Value are those of the update; Value contains ID.
+	// Name is the object to update, BaseVersion the version that the update is conditional
+	// on, and Value the new value, which contains ID.
 	Name        string
 	BaseVersion uint64
 	Value       []byte
@@ -77,8 +78,7 @@
 	object  Object
 }
 
-// NewWrite returns a Write of value, which must contain id, over the version
-// base.
+// NewWrite returns a Write that replaces version base by value, which must contain id.
 func NewWrite(name string, base uint64, value []byte, id string) *Write {
 	invariant.Check(bytes.Contains(value, []byte(id)), "writes carry their id",
 		"%s over version %d does not contain %s", name, base, id)
@@ -88,21 +88,20 @@
 // NewWriteID returns a random id.
 func NewWriteID() string { return uuid.NewString() }
 
-// Next returns the call to make.
+// NextCall returns the call to make.
 func (w *Write) NextCall() Call { return w.next }
 
-// InDoubt reports whether an update was sent whose outcome is not known.
+// InDoubt reports whether an update was sent whose outcome is not known yet.
 func (w *Write) InDoubt() bool { return w.inDoubt && w.next != CallNone }
 
-// Outcome returns what became of the update. It is StillUnknown until Next is
-// CallNone.
+// Outcome returns the outcome of the update, OutcomeUnknown until NextCall is CallNone.
 func (w *Write) Outcome() Outcome { return w.outcome }
 
-// Object returns what the store holds, if the outcome is Applied or
-// Superseded. A later write may have replaced it since.
+// Object returns the object in the store if the outcome is Applied or Superseded. A later
+// write may have replaced it since.
 func (w *Write) Object() Object { return w.object }
 
-// PutDone reports how a CallPut ended.
+// PutDone reports the result of a CallPut.
 func (w *Write) PutDone(version uint64, err error) {
 	switch {
 	case err == nil:
@@ -117,7 +116,7 @@
 	}
 }
 
-// GetDone reports how a CallGet ended.
+// GetDone reports the result of a CallGet.
 func (w *Write) GetDone(o Object, err error) {
 	switch {
 	case err != nil, o.Version < w.BaseVersion:
@@ -141,30 +140,31 @@
 	w.object = o
 }
 
-// The pauses of Update between calls that failed.
+// The retries of Update.
 const (
-	updateFirstPause   = 20 * time.Millisecond
-	updateLongestPause = time.Second
-	// updateAttempts bounds how often Update starts over after a conflict.
-	updateAttempts = 8
+	// minUpdatePause and maxUpdatePause bound the pauses between attempts.
+	minUpdatePause = 20 * time.Millisecond
+	maxUpdatePause = time.Second
+	// maxUpdateAttempts bounds how often Update starts over after a conflict.
+	maxUpdateAttempts = 8
 )
 
-// Mutate returns the new value of an object. The value must contain writeID.
-// An error ends the update and is returned as it is.
+// Mutate returns the new value of an object. The value must contain writeID. An error
+// ends the update and is returned unchanged.
 type Mutate func(base Object, writeID string) (value []byte, err error)
 
-// Update reads the object, changes it by mutate and writes it, starting over
-// when another writer came first, until the outcome is certain or ctx ends.
-// After Applied the object is the one in force. After NotApplied the error
-// says why; after Superseded and StillUnknown it is ErrUnknown.
+// Update reads the object, changes it by mutate and writes it, starting over after a
+// conflict with another writer, until the outcome is certain or ctx ends. After Applied
+// it returns the stored object. After NotApplied the error is the reason; after
+// Superseded and OutcomeUnknown it is ErrUnknown.
 //
-// An update that was Superseded is not tried again: it may have been in force,
-// and a change that is not idempotent would be made twice. Objects that keep
-// the ids of their recent writes in their value are Applied in that case.
+// An update that was Superseded is not retried: it may have been applied, and a change
+// that is not idempotent would be made twice. For objects whose value keeps the ids of
+// recent writes, the outcome in that case is Applied.
 func Update(ctx context.Context, store Store, name string, mutate Mutate) (Object, Outcome, error) {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	pauses := pause.Backoff{Initial: updateFirstPause, Max: updateLongestPause}
-	for range updateAttempts {
+	pauses := pause.Backoff{Initial: minUpdatePause, Max: maxUpdatePause}
+	for range maxUpdateAttempts {
 		base, err := store.Get(ctx, name)
 		if err != nil {
 			return base, NotApplied, eris.Wrap(err, "read "+name)
--- a/internal/sharedstate/write_test.go
+++ b/internal/sharedstate/write_test.go
@@ -15,18 +15,19 @@
 	"pistachioroad.dev/pistachioroad/internal/sharedstate"
 )
 
-// fate is what happens to one call of the fake store.
+// fate is the result of one call of the fake store.
 type fate uint8
 
 const (
 	fine fate = iota
-	// replyLost updates take effect at once, late ones when land is called.
+	// replyLost updates take effect immediately, late ones when land is called. Both
+	// return ErrUnknown.
 	replyLost
 	late
 	refused
 )
 
-// fakeStore holds one object. It is driven by one goroutine.
+// fakeStore holds one object. It is not safe for concurrent use.
 type fakeStore struct {
 	object  sharedstate.Object
 	fates   func() fate
@@ -71,7 +72,7 @@
 	return s.object.Version, nil
 }
 
-// land lets the n-th delayed update take effect.
+// land makes the n-th delayed update take effect, if its version still matches.
 func (s *fakeStore) land(n int) {
 	update := s.delayed[n]
 	s.delayed = append(s.delayed[:n], s.delayed[n+1:]...)
@@ -96,8 +97,8 @@
 var _ = Describe("Update", func() {
 	ctx := context.Background()
 
-	// The store takes the update and its reply is lost. A writer who started
-	// over would make the same change twice.
+	// Guards against making the same change twice: the store applies the update, its reply
+	// is lost, and the writer starts over.
 	It("finds its own update after a lost reply", func() {
 		store := &fakeStore{fates: inOrder(fine, replyLost)}
 		o, outcome, err := sharedstate.Update(ctx, store, "a", appendID)
@@ -107,10 +108,9 @@
 		Expect(store.applied).To(HaveLen(1))
 	})
 
-	// The reply is lost and the update is still on its way when the writer
-	// looks. A writer who took its absence for a failure would tell its
-	// operator so, and the change would come into force afterwards.
-	It("leaves no update on its way that can still take effect", func() {
+	// Guards against a change that takes effect after its operator was told that it failed:
+	// the reply is lost, and the update is still in flight when the writer reads the object.
+	It("leaves no update in flight that can still take effect", func() {
 		store := &fakeStore{fates: inOrder(fine, late)}
 		o, outcome, err := sharedstate.Update(ctx, store, "a", appendID)
 		Expect(err).NotTo(HaveOccurred())
@@ -119,9 +119,9 @@
 		Expect(store.object).To(Equal(o))
 	})
 
-	// The delayed update takes effect just after the writer has looked for it,
-	// so that its second update meets a conflict: with itself.
-	It("does not take a conflict with its own late update for a failure", func() {
+	// Guards against a false failure: the delayed update takes effect just after the writer
+	// has looked for it, so that its second update conflicts with its own first one.
+	It("does not mistake a conflict with its own late update for a failure", func() {
 		store := &fakeStore{}
 		w := sharedstate.NewWrite("a", 0, []byte("<1>"), "<1>")
 		store.fates = inOrder(late)
@@ -134,7 +134,7 @@
 		Expect(w.Outcome()).To(Equal(sharedstate.Applied))
 	})
 
-	It("says that another writer's update took its place", func() {
+	It("reports that another writer's update replaced the object", func() {
 		store := &fakeStore{}
 		store.fates = func() fate {
 			if len(store.delayed) > 0 {
@@ -155,8 +155,8 @@
 		Expect(errors.Is(err, sharedstate.ErrNotSent)).To(BeTrue())
 	})
 
-	It("does not conclude anything when it must give up", func() {
-		giveUp, cancel := context.WithCancel(ctx)
+	It("reports an unknown outcome when its context is cancelled", func() {
+		cancelled, cancel := context.WithCancel(ctx)
 		store := &fakeStore{}
 		store.fates = func() fate {
 			if len(store.delayed) > 0 {
@@ -166,7 +166,7 @@
 			return late
 		}
 		store.fates = inOrderThen(store.fates, fine)
-		_, outcome, err := sharedstate.Update(giveUp, store, "a", appendID)
+		_, outcome, err := sharedstate.Update(cancelled, store, "a", appendID)
 		Expect(outcome).To(Equal(sharedstate.OutcomeUnknown))
 		Expect(errors.Is(err, sharedstate.ErrUnknown)).To(BeTrue())
 	})
@@ -184,9 +184,9 @@
 	}
 }
 
-// Writers race over one object while replies get lost and updates take effect
-// late, in any order. A writer who concludes too early is seen here by an
-// update in force that was reported as not applied, or the other way round.
+// Guards against a Write that concludes too early: writers race for one object while
+// replies are lost and updates take effect late, in any order. An update must be in the
+// object's value if and only if it was reported as applied.
 func TestWriteOutcomesAreTrue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := &fakeStore{fates: func() fate {
@@ -220,12 +220,12 @@
 		for len(store.delayed) > 0 {
 			store.land(0)
 		}
-		inForce := string(store.object.Value)
+		final := string(store.object.Value)
 		for id, outcome := range concluded {
-			// Values only grow here, so what was applied shows for ever.
-			applied := strings.Contains(inForce, id)
+			// Each value extends the one before, so that all applied ids are in the last.
+			applied := strings.Contains(final, id)
 			if applied != (outcome == sharedstate.Applied) {
-				t.Fatalf("%s was reported %s, in force: %v", id, outcome, applied)
+				t.Fatalf("%s was reported %s, applied: %v", id, outcome, applied)
 			}
 		}
 	})
