--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,5 +1,5 @@
-// Package store is the metadata store of the deployment, in the project's words:
-// objects with revisions, conditional updates and watches.
+// Package store defines the interface to the metadata store of the deployment: objects
+// with revisions, conditional updates and watches.
 package store
 
 import (
@@ -9,58 +9,59 @@
 	"time"
 )
 
-// The errors of a Store. Any error but these and ErrRefused leaves a write's
-// outcome unknown: it may have been done, or be done later as long as its
-// condition holds.
+// The errors of a Store. After any other error, the outcome of a write is unknown: it may
+// have been applied, or may be applied later as long as its condition holds.
 var (
-	// ErrNotFound says that there is no such object.
+	// ErrNotFound means that there is no such object.
 	ErrNotFound = errors.New("store: no such object")
-	// ErrConflict says that the object exists, or has another revision.
+	// ErrConflict means that the object to create exists, or that the object to change
+	// has another revision.
 	ErrConflict = errors.New("store: revision conflict")
-	// ErrCompacted says that the history a watch asks for is gone: list again.
+	// ErrCompacted means that the history after a watch's revision has been dropped.
+	// The caller must list again.
 	ErrCompacted = errors.New("store: history compacted")
-	// ErrRefused says that the store did nothing, or was not reached, and may be
-	// asked again.
+	// ErrRejected means that the store rejected the call or was not reached. The call had
+	// no effect and may be retried.
 	ErrRejected = errors.New("store: refused")
 )
 
 // Object is one object of the store.
 type Object struct {
 	Name string
-	// Revision is that of the object's last change. It grows with every change
-	// in the store.
+	// Revision is the store's revision at the object's last change. Every change in the
+	// store increases it.
 	Revision int64
 	// Spec is the object's JSON value.
 	Spec json.RawMessage
-	// Deleting says that the object waits for its finalizers.
+	// Deleting is set while a deleted object waits for its finalizers.
 	Deleting bool
 }
 
-// Listing is all objects of a kind at one revision.
+// Listing holds all objects of a kind at one revision of the store.
 type Listing struct {
 	Objects  []Object
 	Revision int64
 }
 
-// Event is one change of an object.
+// Event is a change of an object, or its removal.
 type Event struct {
 	Object  Object
 	Removed bool
 }
 
-// Batch is what a watch saw; the next watch goes on from At.
+// Batch is the result of a watch. The next watch continues from Revision.
 type Batch struct {
 	Events   []Event
 	Revision int64
 }
 
-// Freshness says how current a read must be.
+// Freshness is the consistency of a read.
 type Freshness uint8
 
 const (
-	// Linearizable reads see every change that was confirmed before them.
+	// Linearizable reads return every change that was confirmed before they started.
 	Linearizable Freshness = iota
-	// Stale reads may be seconds behind, and cost the store a tenth.
+	// Stale reads may be seconds out of date, and cost the store a tenth.
 	Stale
 )
 
@@ -70,10 +71,10 @@
 	List(ctx context.Context, kind string, f Freshness) (Listing, error)
 	// Get returns one object.
 	Get(ctx context.Context, kind, name string) (Object, error)
-	// Watch returns the changes after a revision as soon as there is one, and
-	// an empty batch after wait without any.
+	// Watch returns the changes after a revision as soon as there are any, or an empty
+	// batch after wait.
 	Watch(ctx context.Context, kind string, after int64, wait time.Duration) (Batch, error)
-	// Create adds an object; ErrConflict if it exists.
+	// Create adds an object. It returns ErrConflict if the object exists.
 	Create(ctx context.Context, kind, name string, spec any) (Object, error)
 	// Update replaces an object's value if it still has the revision.
 	Update(ctx context.Context, kind, name string, revision int64, spec any) (Object, error)
