--- a/cmd/pistachioroad-gateway/main.go
+++ b/cmd/pistachioroad-gateway/main.go
@@ -1,12 +1,13 @@
-// Command pistachioroad-gateway is the front door of pistachioroad on the users'
-// platform: it takes callers' requests by host and path and sends them to
-// backend servers directly.
+// Command pistachioroad-gateway is the gateway of pistachioroad on the users' platform. It
+// routes callers' requests by host and path and sends them directly to backend servers.
 //
 //	pistachioroad-gateway -metrics 9464
 //
-// The settings file is named by an environment variable, PISTACHIOROAD_CONFIG.
-// It ends with status 0 after a graceful shutdown (SIGTERM), 1 when it failed,
-// and 2 when the command line or the settings are wrong.
+// The environment variable PISTACHIOROAD_CONFIG holds the path of the settings file,
+// unless -settings is given.
+//
+// The exit status is 0 after a graceful shutdown (SIGTERM or SIGINT) or a successful
+// check, 1 after a failure, and 2 if the command line or the settings are invalid.
 package main
 
 import (
@@ -15,7 +16,7 @@
 	"fmt"
 	"os"
 	"os/signal"
-	_ "runtime/cgo" // links the C library in, as on all VMs
+	_ "runtime/cgo" // links the C library, as on all VMs
 	"runtime/debug"
 	"syscall"
 
@@ -35,8 +36,9 @@
 	exitUsage  = 2
 )
 
-// memoryPart is the part of the VM's memory at which the collector works harder.
-const memoryPart = 0.6
+// memoryLimitFraction is the Go memory limit as a fraction of the VM's memory. Near the
+// limit, the garbage collector runs more often.
+const memoryLimitFraction = 0.6
 
 func main() { os.Exit(run()) }
 
@@ -66,7 +68,7 @@
 	defer sink.Close()
 	log.SetHandler(json.New(sink))
 	log.Log = log.Log.WithField("process", d.Name)
-	debug.SetMemoryLimit(int64(memoryPart * float64(d.MaxMemoryBytes)))
+	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(d.MaxMemoryBytes)))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	err := process.Run(ctx, process.Config{
@@ -75,7 +77,7 @@
 		MetricsPort: metricsPort,
 	})
 	if err != nil {
-		log.WithField("error", err.Error()).Error("failed")
+		log.WithField("error", err.Error()).Error("process failed")
 		return exitFailed
 	}
 	return exitOK
--- a/cmd/pistachioroad/client.go
+++ b/cmd/pistachioroad/client.go
@@ -17,13 +17,14 @@
 	"pistachioroad.dev/pistachioroad/internal/operator"
 )
 
-// maxAnswer bounds an answer in bytes; a dump is the largest.
-const maxAnswer = 16 << 20
+// maxResponseBytes limits the body of a response; dumps are the largest.
+const maxResponseBytes = 16 << 20
 
-// errSent says that a request was sent and its answer lost.
-var errSent = eris.New("the answer was lost")
+// errResponseLost means that the request may have reached the entry but no usable response
+// was received.
+var errResponseLost = eris.New("the answer was lost")
 
-// client talks to the first entry that can be reached.
+// client sends requests to the first of its entries that is reachable.
 type client struct {
 	http    *http.Client
 	entries []string
@@ -34,7 +35,7 @@
 	return &client{
 		http: &http.Client{
 			Transport: &http.Transport{DisableKeepAlives: true},
-			// A redirect would carry the token to another address.
+			// Following a redirect would send the token to another address.
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
 		entries: entries,
@@ -42,9 +43,9 @@
 	}
 }
 
-// get reads path into answer. A read can be asked again, so it goes on to the
-// next entry also when an answer was lost.
-func (c *client) get(ctx context.Context, path string, answer any) error {
+// get decodes the response to a GET request for path into result. Such requests are safe
+// to repeat, so it also tries the next entry if a response was lost.
+func (c *client) get(ctx context.Context, path string, result any) error {
 	var failures error
 	for _, entry := range c.entries {
 		status, data, err := c.do(ctx, http.MethodGet, entry, path, nil)
@@ -53,16 +54,16 @@
 			continue
 		}
 		if status != http.StatusOK {
-			return answerError(entry, status, data)
+			return responseError(entry, status, data)
 		}
-		return eris.Wrapf(json.Unmarshal(data, answer), "answer of %s", entry)
+		return eris.Wrapf(json.Unmarshal(data, result), "answer of %s", entry)
 	}
 	return eris.Wrap(failures, "no entry answers")
 }
 
-// edit sends the edit to the first entry that can be reached. It returns
-// errSent when the answer was lost; the edit is then not sent to another
-// entry, for it may be in force already and somebody's next one on top.
+// edit sends an edit to the first reachable entry. It returns errResponseLost if the
+// response was lost. The edit is then not sent to another entry: it may already be active
+// and followed by another operator's edit, which it would undo.
 func (c *client) edit(ctx context.Context, r operator.EditRequest) (operator.EditResult, error) {
 	body, err := json.Marshal(r)
 	if err != nil {
@@ -72,7 +73,7 @@
 	for _, entry := range c.entries {
 		status, data, err := c.do(ctx, http.MethodPost, entry, "/fleet/edits", body)
 		switch {
-		case errors.Is(err, errSent):
+		case errors.Is(err, errResponseLost):
 			return operator.EditResult{}, err
 		case err != nil:
 			failures = errors.Join(failures, err)
@@ -83,18 +84,21 @@
 	return operator.EditResult{}, eris.Wrap(failures, "no entry can be reached; nothing was changed")
 }
 
+// decodeResult decodes the response of entry to an edit. A response without an outcome is
+// errResponseLost if the edit may have been made.
 func decodeResult(entry string, status int, data []byte) (operator.EditResult, error) {
 	var result operator.EditResult
 	if json.Unmarshal(data, &result) == nil && result.Outcome != "" {
 		return result, nil
 	}
 	if status == http.StatusOK || status >= http.StatusInternalServerError {
-		return result, eris.Wrapf(errSent, "%s answered %d without an outcome", entry, status)
+		return result, eris.Wrapf(errResponseLost, "%s answered %d without an outcome", entry, status)
 	}
-	return result, answerError(entry, status, data)
+	return result, responseError(entry, status, data)
 }
 
-// do makes one request. Its error is errSent if the request may have arrived.
+// do sends one request to entry. The error is errResponseLost if the request may have
+// arrived.
 func (c *client) do(ctx context.Context, method, entry, path string, body []byte) (int, []byte, error) {
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
@@ -107,21 +111,21 @@
 	request.Header.Set("Content-Type", "application/json")
 	response, err := c.http.Do(request)
 	if err != nil && connected {
-		return 0, nil, eris.Wrap(errSent, err.Error())
+		return 0, nil, eris.Wrap(errResponseLost, err.Error())
 	}
 	if err != nil {
 		return 0, nil, eris.Wrap(err, "not reached")
 	}
 	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return 0, nil, eris.Wrap(errSent, err.Error())
+		return 0, nil, eris.Wrap(errResponseLost, err.Error())
 	}
 	return response.StatusCode, data, nil
 }
 
-// answerError turns an answer that is none into an error.
-func answerError(entry string, status int, data []byte) error {
+// responseError returns the error for a response that is not a result.
+func responseError(entry string, status int, data []byte) error {
 	var problem huma.ErrorModel
 	if json.Unmarshal(data, &problem) != nil || problem.Title == "" {
 		return eris.Errorf("%s answered %d: %s", entry, status, bytes.TrimSpace(data))
--- a/cmd/pistachioroad/command.go
+++ b/cmd/pistachioroad/command.go
@@ -20,19 +20,19 @@
 
 // command is one subcommand.
 type command struct {
-	// name has one or two words.
+	// name consists of one or two words.
 	name    string
 	args    string
 	summary string
 	// details and example are shown by -h.
 	details string
 	example string
-	// flags adds the flags that only this command has.
+	// flags defines the flags that are specific to this command; may be nil.
 	flags func(*flag.FlagSet, *options)
 	run   func(ctx context.Context, a *app, args []string) error
 }
 
-// commands returns all subcommands in the order of the help text.
+// commands returns all subcommands in the order of the help.
 func commands() []command {
 	return []command{
 		statusCommand(), defaultsGetCommand(), defaultsSetCommand(), exceptionAddCommand(),
@@ -59,13 +59,13 @@
 	service, model, dataCentre, backendServer string
 }
 
-// addressList is a flag that may be given several times.
+// addressList is the value of a flag that may be given several times.
 type addressList []string
 
-// String returns the addresses, separated by commas.
+// String implements flag.Value.
 func (l *addressList) String() string { return strings.Join(*l, ",") }
 
-// Set adds an IP number and port.
+// Set implements flag.Value. It accepts an IP address with a port.
 func (l *addressList) Set(value string) error {
 	if _, err := netip.ParseAddrPort(value); err != nil {
 		return fmt.Errorf("%q is not an IP number and a port, such as 10.1.0.5:7002", value)
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// app is one run of the program.
+// app is one execution of the program.
 type app struct {
 	stdout, stderr io.Writer
 	options        options
@@ -86,17 +86,17 @@
 	if err != nil {
 		return err
 	}
-	cmd, rest, err := find(words)
+	cmd, rest, err := findCommand(words)
 	if err != nil {
 		return err
 	}
-	// The flags are read anew, now with those of the command.
+	// The arguments are parsed again, now with only the flags of this command.
 	a.options = options{}
 	words, err = a.parse(args, &cmd)
 	if err != nil {
 		return err
 	}
-	if err := a.connect(); err != nil {
+	if err := a.setUpClient(); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, a.options.timeout)
@@ -104,8 +104,8 @@
 	return cmd.run(ctx, a, words[len(words)-len(rest):])
 }
 
-// find returns the command that the words begin with, and its arguments.
-func find(words []string) (command, []string, error) {
+// findCommand returns the command named by the first words, and the remaining words.
+func findCommand(words []string) (command, []string, error) {
 	for _, c := range commands() {
 		name := strings.Fields(c.name)
 		if len(words) >= len(name) && strings.Join(words[:len(name)], " ") == c.name {
@@ -118,9 +118,9 @@
 	return command{}, nil, usageError("there is no command %q", strings.Join(words, " "))
 }
 
-// parse reads the flags, which may stand before, between and after the other
-// words, and returns those. Without a command it reads the flags of all of
-// them, to find the command's name among the words.
+// parse parses the flags, which may be before, between and after the other words, and
+// returns the other words. With a nil cmd it accepts the flags of all commands, so that
+// the command's name can be found among the words.
 func (a *app) parse(args []string, cmd *command) ([]string, error) {
 	set := flag.NewFlagSet("pistachioroad", flag.ContinueOnError)
 	set.SetOutput(io.Discard)
@@ -181,7 +181,7 @@
 	scopeFlagSet(set, o)
 }
 
-func (a *app) connect() error {
+func (a *app) setUpClient() error {
 	if len(a.options.entries) == 0 {
 		return usageError("-entry is missing")
 	}
@@ -196,9 +196,9 @@
 	return nil
 }
 
-// help prints the help text of the command that the words name, or of all.
+// help prints the help of the command named by words, or else of the program.
 func (a *app) help(words []string) {
-	cmd, _, err := find(words)
+	cmd, _, err := findCommand(words)
 	if err != nil {
 		a.helpAll()
 		return
@@ -240,8 +240,8 @@
 `)
 }
 
-// exactly returns an error unless there are as many arguments as named.
-func exactly(args []string, names ...string) error {
+// requireArgs returns a usage error unless there is one argument for each name.
+func requireArgs(args []string, names ...string) error {
 	if len(args) == len(names) {
 		return nil
 	}
--- a/cmd/pistachioroad/edit.go
+++ b/cmd/pistachioroad/edit.go
@@ -15,7 +15,7 @@
 	"pistachioroad.dev/pistachioroad/internal/operator"
 )
 
-// readBackTimeout bounds the look for an edit of unknown outcome.
+// readBackTimeout is the timeout for reading back an edit of unknown outcome.
 const readBackTimeout = 3 * time.Second
 
 func defaultsSetCommand() command {
@@ -52,7 +52,7 @@
 		example: "exception remove x4f1c09aa",
 		flags:   editFlags,
 		run: func(ctx context.Context, a *app, args []string) error {
-			if err := exactly(args, "ID"); err != nil {
+			if err := requireArgs(args, "ID"); err != nil {
 				return err
 			}
 			return a.edit(ctx, fleetconfig.Change{RemoveException: args[0]})
@@ -81,7 +81,7 @@
 		example: "undrain gangnam-draft-1",
 		flags:   editFlags,
 		run: func(ctx context.Context, a *app, args []string) error {
-			if err := exactly(args, "BACKEND"); err != nil {
+			if err := requireArgs(args, "BACKEND"); err != nil {
 				return err
 			}
 			return a.edit(ctx, fleetconfig.Change{Undrain: args[0]})
@@ -146,7 +146,7 @@
 }
 
 func drain(ctx context.Context, a *app, args []string) error {
-	if err := exactly(args, "BACKEND"); err != nil {
+	if err := requireArgs(args, "BACKEND"); err != nil {
 		return err
 	}
 	reason, err := a.reason()
@@ -164,7 +164,8 @@
 	return reason, nil
 }
 
-// parseExpires reads a time or a duration from now; nil if text is empty.
+// parseExpires parses an RFC 3339 time or a duration from now. It returns nil if text is
+// empty.
 func parseExpires(text string, now time.Time) (*time.Time, error) {
 	if text == "" {
 		return nil, nil
@@ -180,8 +181,8 @@
 	return &t, nil
 }
 
-// edit makes the changes on the version given by -version or else on the
-// current one, and prints what became of them.
+// edit applies changes to the version given by -version, or else to the current one, and
+// prints the result.
 func (a *app) edit(ctx context.Context, changes ...fleetconfig.Change) error {
 	if a.options.author == "" {
 		return usageError("-author is missing")
@@ -197,7 +198,7 @@
 		Changes:     changes,
 	}
 	result, err := a.client.edit(ctx, request)
-	if errors.Is(err, errSent) {
+	if errors.Is(err, errResponseLost) {
 		result, err = operator.EditResult{
 			Outcome: operator.EditUnknown, EditID: request.EditID, Message: err.Error(),
 		}, nil
@@ -208,9 +209,10 @@
 	if result.Outcome == operator.EditUnknown {
 		result = a.readBack(ctx, result)
 	}
-	return a.report(result)
+	return a.reportResult(result)
 }
 
+// baseVersion returns the version that an edit is based on.
 func (a *app) baseVersion(ctx context.Context) (uint64, error) {
 	if a.options.version != 0 {
 		return a.options.version, nil
@@ -228,10 +230,10 @@
 	return view.Version, nil
 }
 
-// readBack looks for an edit of unknown outcome. Finding it settles the
-// matter; not finding it does not, for it may be on its way.
+// readBack searches the configuration for an edit of unknown outcome. If it is found, it
+// was applied. If not, the outcome remains unknown, as the edit may still be in flight.
 func (a *app) readBack(ctx context.Context, result operator.EditResult) operator.EditResult {
-	// The time for the whole command may be used up by now.
+	// The timeout of the whole command may have expired.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), readBackTimeout)
 	defer cancel()
 	var view operator.ConfigView
@@ -246,26 +248,26 @@
 	return result
 }
 
-var exitOfOutcome = map[operator.EditOutcome]exitStatus{
+var exitStatusByOutcome = map[operator.EditOutcome]exitStatus{
 	operator.EditApplied:          exitOK,
 	operator.EditConflict:         exitConflict,
 	operator.EditRejected:         exitFailed,
-	operator.EditUnknown:          exitUnknown,
+	operator.EditUnknown:          exitOutcomeUnknown,
 	operator.EditStoreUnavailable: exitStoreUnavailable,
 }
 
-// report prints the result and returns how the program ends.
-func (a *app) report(result operator.EditResult) error {
-	status, known := exitOfOutcome[result.Outcome]
+// reportResult prints result. It returns an exitError unless the edit was applied.
+func (a *app) reportResult(result operator.EditResult) error {
+	status, known := exitStatusByOutcome[result.Outcome]
 	if !known {
-		status = exitUnknown
+		status = exitOutcomeUnknown
 	}
 	if a.options.json {
 		if err := printJSON(a.stdout, result); err != nil {
 			return err
 		}
 	} else {
-		a.reportText(result)
+		a.printResult(result)
 	}
 	if status == exitOK {
 		return nil
@@ -273,7 +275,7 @@
 	return &exitError{status: status}
 }
 
-func (a *app) reportText(result operator.EditResult) {
+func (a *app) printResult(result operator.EditResult) {
 	w := a.stdout
 	if result.Outcome != operator.EditApplied {
 		w = a.stderr
--- a/cmd/pistachioroad/main.go
+++ b/cmd/pistachioroad/main.go
@@ -1,12 +1,12 @@
-// Command pistachioroad is the tool of the operators. It talks to the operator
-// API of an entry: defaults, exceptions, drains, status, dumps and
+// Command pistachioroad is the operators' command line tool. It calls the operator API of
+// an entry to edit defaults, exceptions and drains, and to show status, dumps and
 // explanations.
 //
 //	pistachioroad -entry 10.20.1.10:7002 -token-file token status
 //
-// Its exit statuses are 0 (done), 1 (failed, nothing was changed), 2 (wrong
-// command line), 3 (another edit came first), 4 (the outcome of the edit is
-// unknown) and 5 (the platform's store cannot be reached, nothing was changed).
+// The exit status is 0 (done), 1 (failed, nothing was changed), 2 (wrong command line),
+// 3 (another edit came first, nothing was changed), 4 (the outcome of the edit is unknown)
+// or 5 (the platform's store cannot be reached, nothing was changed).
 package main
 
 import (
@@ -17,13 +17,13 @@
 	"io"
 	"os"
 	"os/signal"
-	_ "runtime/cgo" // links the C library in, as on all VMs
+	_ "runtime/cgo" // links the C library, as on all VMs
 	"syscall"
 
 	"github.com/rotisserie/eris"
 )
 
-// exitStatus is how the program ends.
+// exitStatus is an exit status of the program.
 type exitStatus int
 
 const (
@@ -31,12 +31,12 @@
 	exitFailed           exitStatus = 1
 	exitUsage            exitStatus = 2
 	exitConflict         exitStatus = 3
-	exitUnknown          exitStatus = 4
+	exitOutcomeUnknown   exitStatus = 4
 	exitStoreUnavailable exitStatus = 5
 )
 
-// exitError ends the program with a status. Its message may be empty when all
-// has been said.
+// exitError is an error that determines the exit status. Its message is empty if the
+// failure has already been printed.
 type exitError struct {
 	status  exitStatus
 	message string
@@ -55,7 +55,7 @@
 	os.Exit(int(status))
 }
 
-// run executes one command line.
+// run executes one command line and returns the exit status.
 func run(ctx context.Context, args []string, stdout, stderr io.Writer) exitStatus {
 	a := &app{stdout: stdout, stderr: stderr}
 	err := a.run(ctx, args)
--- a/cmd/pistachioroad/main_test.go
+++ b/cmd/pistachioroad/main_test.go
@@ -30,13 +30,13 @@
 	RunSpecs(t, "pistachioroad")
 }
 
-// entryFleet is what the entries under test know of the fleet.
-type entryFleet struct {
-	mu   sync.Mutex
-	held sharedstate.Object
+// fakeFleet implements operator.Fleet with fixed data.
+type fakeFleet struct {
+	mu     sync.Mutex
+	config sharedstate.Object
 }
 
-func (f *entryFleet) Status(context.Context) (operator.Status, error) {
+func (f *fakeFleet) Status(context.Context) (operator.Status, error) {
 	return operator.Status{
 		Entry: "gangnam-entry-1",
 		Store: operator.StoreStatus{Healthy: true},
@@ -50,23 +50,23 @@
 	}, nil
 }
 
-func (f *entryFleet) Peers(context.Context) ([]operator.Peer, error) {
+func (f *fakeFleet) Peers(context.Context) ([]operator.Peer, error) {
 	return []operator.Peer{{Name: "m1", Address: "127.0.0.1:1"}}, nil
 }
 
-func (f *entryFleet) Config() sharedstate.Object {
+func (f *fakeFleet) Config() sharedstate.Object {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.held
+	return f.config
 }
 
-func (f *entryFleet) Accept(o sharedstate.Object) {
+func (f *fakeFleet) Accept(o sharedstate.Object) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.held = o
+	f.config = o
 }
 
-// deployment is a store and an entry's operator API on it.
+// deployment is a store and the operator API of an entry that uses it.
 type deployment struct {
 	store   *objectstore.Store
 	handler http.Handler
@@ -74,6 +74,7 @@
 	token   string
 }
 
+// deploy starts a store and an entry's operator API.
 func deploy() *deployment {
 	GinkgoHelper()
 	d := &deployment{store: objectstore.New(), token: filepath.Join(GinkgoT().TempDir(), "token")}
@@ -87,20 +88,21 @@
 	log.Add(time.Unix(1, 0), "r1", "sent to m1", "least expected wait")
 	server, err := operator.NewServer(
 		operator.Config{TokenFile: d.token, EditTimeout: 500 * time.Millisecond},
-		operator.Sources{Process: "gangnam-entry-1", Fleet: &entryFleet{}, Store: client, Explain: log})
+		operator.Sources{Process: "gangnam-entry-1", Fleet: &fakeFleet{}, Store: client, Explain: log})
 	Expect(err).NotTo(HaveOccurred())
 	d.handler = server.Handler()
 	d.entry = listen(d.handler)
 	return d
 }
 
+// listen serves handler and returns the address.
 func listen(handler http.Handler) string {
 	server := httptest.NewServer(handler)
 	DeferCleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// unreachable returns an address that nobody listens on.
+// unreachable returns an address without a listener.
 func unreachable() string {
 	GinkgoHelper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -109,8 +111,8 @@
 	return listener.Addr().String()
 }
 
-// run executes a command line against the entry and returns its exit status
-// and all that it printed.
+// run executes a command line against the entry and returns the exit status and the
+// output.
 func (d *deployment) run(args ...string) (exitStatus, string) {
 	return d.runAt([]string{d.entry}, args...)
 }
@@ -141,13 +143,13 @@
 		status, _ = d.run("defaults", "set", "class=")
 		Expect(status).To(Equal(exitOK))
 		_, output = d.run("-json", "defaults", "get")
-		var answer defaultsAnswer
+		var answer defaultsOutput
 		Expect(json.Unmarshal([]byte(output), &answer)).To(Succeed())
 		Expect(answer.Set.String()).To(Equal("role_change_cost=5"))
 		Expect(*answer.InForce.Class).To(Equal("normal"))
 	})
 
-	It("adds, lists and removes exceptions, and keeps the history", func() {
+	It("adds, lists and removes exceptions, and records the history", func() {
 		_, empty := d.run("-json", "exception", "list")
 		Expect(empty).To(MatchJSON("[]"))
 		status, output := d.run("exception", "add", "-service", "holds", "deadline=3s", "-reason", "fair week", "-expires", "72h")
@@ -161,7 +163,7 @@
 		Expect(output).To(And(ContainSubstring("add exception "+id), ContainSubstring("remove exception "+id)))
 	})
 
-	It("drains a backend server, warns of an unknown one and takes it back", func() {
+	It("drains and undrains a backend server, and warns if it is unknown", func() {
 		status, output := d.run("drain", "m1", "-reason", "new disk")
 		Expect(status).To(Equal(exitOK))
 		Expect(output).NotTo(ContainSubstring("warning"))
@@ -173,7 +175,7 @@
 		Expect(status).To(Equal(exitFailed))
 	})
 
-	It("shows status, explanations and dumps, without obeying control characters in them", func() {
+	It("shows status, explanations and dumps without control characters", func() {
 		status, output := d.run("status")
 		Expect(status).To(Equal(exitOK))
 		Expect(output).To(And(ContainSubstring("fleetconfig=7"), ContainSubstring("changing"), ContainSubstring("drained, 2 running"), Not(ContainSubstring("\x1b"))))
@@ -187,7 +189,7 @@
 		Expect(output).To(ContainSubstring("gangnam-entry-1 at "))
 	})
 
-	DescribeTable("refuses a wrong command line", func(want string, args ...string) {
+	DescribeTable("rejects a wrong command line", func(want string, args ...string) {
 		status, output := d.run(args...)
 		Expect(status).To(Equal(exitUsage))
 		Expect(output).To(ContainSubstring(want))
@@ -205,7 +207,7 @@
 		Entry("two names", "expected one BACKEND", "undrain", "m1", "m2"),
 	)
 
-	It("has a help text with an example for each command", func() {
+	It("prints help with an example for each command", func() {
 		for _, c := range commands() {
 			status, output := d.run(append(strings.Fields(c.name), "-h")...)
 			Expect(status).To(Equal(exitOK))
@@ -213,16 +215,16 @@
 		}
 	})
 
-	It("says that the token is wrong", func() {
+	It("reports a wrong token", func() {
 		Expect(os.WriteFile(d.token, []byte("another token, long enough"), 0o600)).To(Succeed())
 		status, output := d.run("status")
 		Expect(status).To(Equal(exitFailed))
 		Expect(output).To(ContainSubstring("token missing or wrong"))
 	})
 
-	// Two operators read the same version and edit it. The second one must see
-	// the first one's value beside the own one, not overwrite it.
-	It("shows both values to the operator who came second", func() {
+	// Guards against an edit that overwrites another: two operators edit the same version. The
+	// second edit fails and shows both values.
+	It("shows both values if another edit came first", func() {
 		d.run("defaults", "set", "role_change_cost=5")
 		d.run("defaults", "set", "role_change_cost=9", "-author", "lee")
 		status, output := d.run("defaults", "set", "role_change_cost=30", "-version", "101")
@@ -231,9 +233,9 @@
 		Expect(output).To(ContainSubstring("lee: set defaults role_change_cost=9"))
 	})
 
-	// The store goes down. An edit must not leave doubt whether it will come
-	// into force when the store is back.
-	It("says that nothing was changed while the store is down", func() {
+	// Guards against uncertainty whether an edit that was made while the store is down becomes
+	// active when the store is up again.
+	It("reports that nothing was changed while the store is down", func() {
 		d.run("defaults", "set", "role_change_cost=5")
 		d.store.SetFaults(objectstore.Faults{Unavailable: true})
 		status, output := d.run("defaults", "set", "role_change_cost=9")
@@ -244,9 +246,9 @@
 		Expect(output).To(ContainSubstring("this is the version in force at the entry"))
 	})
 
-	// The store makes the edit and its reply is lost. An operator who is told
-	// that it failed edits again on top of what is in force already.
-	It("finds an edit whose reply from the store was lost", func() {
+	// Guards against an edit that is repeated although it is already active: the store applied
+	// it, the reply was lost, and the operator is told that it failed.
+	It("finds an edit if the store's reply was lost", func() {
 		d.store.SetFaults(objectstore.Faults{LoseReplies: true})
 		status, output := d.run("defaults", "set", "role_change_cost=5")
 		Expect(status).To(Equal(exitOK), output)
@@ -254,11 +256,12 @@
 		Expect(strings.Count(output, "set defaults")).To(Equal(1))
 	})
 
-	// The entry takes the edit and dies before it answers. Sent again to
-	// another entry the edit could undo somebody's later one; it is looked for.
-	It("reads back an edit whose answer from the entry was lost", func() {
+	// Guards against undoing a later edit by another operator: the entry applied the edit and
+	// crashed before it responded, and the edit is sent again to another entry. It must be
+	// read back instead.
+	It("reads back an edit if the entry's response was lost", func() {
 		posts := 0
-		dying := listen(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		crashing := listen(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.Method != http.MethodPost {
 				panic(http.ErrAbortHandler)
 			}
@@ -266,7 +269,7 @@
 			d.handler.ServeHTTP(httptest.NewRecorder(), r)
 			panic(http.ErrAbortHandler)
 		}))
-		status, output := d.runAt([]string{dying, d.entry}, "defaults", "set", "role_change_cost=5")
+		status, output := d.runAt([]string{crashing, d.entry}, "defaults", "set", "role_change_cost=5")
 		Expect(status).To(Equal(exitOK), output)
 		Expect(output).To(ContainSubstring("found on reading back version 1"))
 		Expect(posts).To(Equal(1))
@@ -274,21 +277,21 @@
 		Expect(strings.Count(output, "set defaults")).To(Equal(1))
 	})
 
-	// As before, but the edit is lost with the entry. Not finding it proves
-	// nothing, so the operator is told to look again and not that it failed.
-	It("says that the outcome is unknown when the edit is not found", func() {
-		lost := listen(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
+	// Guards against reporting a failure when the edit is not found by reading it back: it may
+	// still be in flight, so the operator is told to look again later.
+	It("reports an unknown outcome if the edit is not found", func() {
+		failing := listen(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 			panic(http.ErrAbortHandler)
 		}))
-		status, output := d.runAt([]string{lost, d.entry}, "defaults", "set", "role_change_cost=5")
-		Expect(status).To(Equal(exitUnknown))
+		status, output := d.runAt([]string{failing, d.entry}, "defaults", "set", "role_change_cost=5")
+		Expect(status).To(Equal(exitOutcomeUnknown))
 		Expect(output).To(ContainSubstring("Do not repeat it yet"))
-		status, output = d.runAt([]string{lost, d.entry}, "-json", "defaults", "set", "role_change_cost=5")
-		Expect(status).To(Equal(exitUnknown))
+		status, output = d.runAt([]string{failing, d.entry}, "-json", "defaults", "set", "role_change_cost=5")
+		Expect(status).To(Equal(exitOutcomeUnknown))
 		Expect(output).To(ContainSubstring(`"outcome": "unknown"`))
 	})
 
-	It("goes on to the next entry when one cannot be reached", func() {
+	It("tries the next entry if one is unreachable", func() {
 		entries := []string{unreachable(), d.entry}
 		for _, args := range [][]string{{"status"}, {"defaults", "set", "role_change_cost=5"}} {
 			status, output := d.runAt(entries, args...)
@@ -301,7 +304,7 @@
 })
 
 var _ = Describe("parseExpires", func() {
-	It("takes a duration and a time", func() {
+	It("accepts a duration and a time", func() {
 		now := time.Date(2026, 11, 2, 12, 0, 0, 0, time.UTC)
 		for _, text := range []string{"4h", "2026-11-02T16:00:00Z"} {
 			expires, err := parseExpires(text, now)
--- a/cmd/pistachioroad/show.go
+++ b/cmd/pistachioroad/show.go
@@ -73,7 +73,8 @@
 	}
 }
 
-// config reads the configuration and says so when the store is not behind it.
+// config reads the configuration. It prints a notice if the entry returned its active
+// version because the store is unreachable.
 func (a *app) config(ctx context.Context) (operator.ConfigView, error) {
 	var view operator.ConfigView
 	if err := a.client.get(ctx, "/fleet/config", &view); err != nil {
@@ -85,8 +86,8 @@
 	return view, nil
 }
 
-// defaultsAnswer is defaults get for programs.
-type defaultsAnswer struct {
+// defaultsOutput is the JSON output of "defaults get".
+type defaultsOutput struct {
 	Version uint64             `json:"version"`
 	Source  string             `json:"source"`
 	Set     fleetconfig.Values `json:"set"`
@@ -106,7 +107,7 @@
 	set := view.Config.Defaults
 	if a.options.json {
 		withoutExceptions := fleetconfig.Config{Defaults: set}
-		return printJSON(a.stdout, defaultsAnswer{
+		return printJSON(a.stdout, defaultsOutput{
 			Version: view.Version, Source: view.Source,
 			Set: set, InForce: withoutExceptions.EffectiveValues(fleetconfig.Scope{}, time.Now()),
 		})
@@ -124,7 +125,7 @@
 }
 
 func listExceptions(ctx context.Context, a *app, args []string) error {
-	if err := exactly(args); err != nil {
+	if err := requireArgs(args); err != nil {
 		return err
 	}
 	view, err := a.config(ctx)
@@ -150,7 +151,7 @@
 }
 
 func showHistory(ctx context.Context, a *app, args []string) error {
-	if err := exactly(args); err != nil {
+	if err := requireArgs(args); err != nil {
 		return err
 	}
 	view, err := a.config(ctx)
@@ -171,7 +172,7 @@
 }
 
 func dumpProcess(ctx context.Context, a *app, args []string) error {
-	if err := exactly(args, "PROCESS"); err != nil {
+	if err := requireArgs(args, "PROCESS"); err != nil {
 		return err
 	}
 	var dump operator.Dump
@@ -200,7 +201,7 @@
 }
 
 func explainSubject(ctx context.Context, a *app, args []string) error {
-	if err := exactly(args, "REQUEST|ENGINE"); err != nil {
+	if err := requireArgs(args, "REQUEST|ENGINE"); err != nil {
 		return err
 	}
 	var found operator.FleetExplanation
@@ -227,13 +228,13 @@
 		t.row(r.At.UTC().Format(time.RFC3339Nano), r.Process, r.Decision, r.Reason)
 	}
 	t.flush()
-	for _, silent := range found.Silent {
-		fmt.Fprintf(a.stderr, "%s did not answer: %s\n", silent.Process, printable(silent.Error))
+	for _, peer := range found.Silent {
+		fmt.Fprintf(a.stderr, "%s did not answer: %s\n", peer.Process, printable(peer.Error))
 	}
 }
 
 func showStatus(ctx context.Context, a *app, args []string) error {
-	if err := exactly(args); err != nil {
+	if err := requireArgs(args); err != nil {
 		return err
 	}
 	var status operator.Status
@@ -258,7 +259,7 @@
 	}
 	fmt.Fprintf(a.stdout, "store: %s (last success %s ago)\n", store, durationText(s.Store.LastSuccess))
 	fmt.Fprintf(a.stdout, "VM list: read %s ago\n", durationText(s.VMListAge))
-	fmt.Fprintf(a.stdout, "planner: %s\n", dash(s.Planner))
+	fmt.Fprintf(a.stdout, "planner: %s\n", orDash(s.Planner))
 }
 
 func (a *app) printProcesses(processes []operator.ProcessStatus) {
@@ -266,7 +267,7 @@
 	t := newTable(a.stdout)
 	t.row("PROCESS", "KIND", "DATA CENTRE", "SERVICE", "STATE", "WORK", "HEARD", "VERSIONS IN FORCE")
 	for _, p := range processes {
-		t.row(p.Name, p.Kind, p.DataCentre, dash(p.Service), string(p.State),
+		t.row(p.Name, p.Kind, p.DataCentre, orDash(p.Service), string(p.State),
 			workText(p.Work), durationText(p.LastHeard), versionsText(p.Versions))
 	}
 	t.flush()
@@ -289,7 +290,7 @@
 	parts := lo.Map(slices.Sorted(maps.Keys(versions)), func(name string, _ int) string {
 		return name + "=" + strconv.FormatUint(versions[name], 10)
 	})
-	return dash(strings.Join(parts, " "))
+	return orDash(strings.Join(parts, " "))
 }
 
 func (a *app) printEngines(engines []operator.EngineStatus) {
@@ -308,7 +309,7 @@
 		return "-"
 	}
 	return strings.Join([]string{
-		dash(s.Role), dash(s.Model), dash(s.Weights), fmt.Sprint("gen ", s.Generation),
+		orDash(s.Role), orDash(s.Model), orDash(s.Weights), fmt.Sprint("gen ", s.Generation),
 	}, " ")
 }
 
--- a/cmd/pistachioroad/table.go
+++ b/cmd/pistachioroad/table.go
@@ -29,8 +29,8 @@
 
 func (t table) flush() { _ = t.w.Flush() }
 
-// printable replaces control characters. Reasons and names come from other
-// people, and a terminal would obey an escape sequence hidden in them.
+// printable replaces control characters with spaces. Reasons and names are untrusted: a
+// terminal would execute escape sequences in them.
 func printable(text string) string {
 	return strings.Map(func(r rune) rune {
 		if unicode.IsControl(r) && r != '\n' {
@@ -52,13 +52,13 @@
 	return time.Duration(d).Round(time.Millisecond).String()
 }
 
-// dash stands for an empty cell.
-func dash(text string) string {
+// orDash returns text, or "-" for an empty cell.
+func orDash(text string) string {
 	if text == "" {
 		return "-"
 	}
 	return text
 }
 
-// orEmpty keeps a list without elements from becoming null in JSON.
+// orEmpty returns a copy of list that is not nil, so that JSON has [] instead of null.
 func orEmpty[T any](list []T) []T { return append([]T{}, list...) }
--- a/cmd/pistachioroadd/main.go
+++ b/cmd/pistachioroadd/main.go
@@ -1,12 +1,11 @@
-// Command pistachioroadd is the daemon of pistachioroad. It runs as an entry,
-// which takes the callers' requests, or as the sidecar of a backend server.
+// Command pistachioroadd is the pistachioroad daemon. It runs as an entry, which accepts
+// callers' requests, or as the sidecar of a backend server.
 //
 //	pistachioroadd -settings entry.yaml
 //	pistachioroadd -settings sidecar.yaml -check
 //
-// It ends with status 0 after a graceful shutdown (SIGTERM or SIGINT) or a
-// check without errors, 1 when it failed, and 2 when the command line or the
-// settings are wrong.
+// The exit status is 0 after a graceful shutdown (SIGTERM or SIGINT) or a successful
+// check, 1 after a failure, and 2 if the command line or the settings are invalid.
 package main
 
 import (
@@ -16,7 +15,7 @@
 	"os"
 	"os/signal"
 	"runtime"
-	_ "runtime/cgo" // links the C library in, as on all VMs
+	_ "runtime/cgo" // links the C library, as on all VMs
 	"syscall"
 
 	"github.com/apex/log"
@@ -60,22 +59,22 @@
 	return serve(s)
 }
 
-// limitProcessors keeps the process to a few processors. Its work is many short
-// hand-overs between goroutines; spread over all processors of a large VM, each
-// one wakes another up, which costs a third more processor time and a longer
-// tail of the first token than the work itself.
+// limitProcessors limits GOMAXPROCS to the configured number of processors, unless the
+// environment sets it. The work consists of many short hand-overs between goroutines. If
+// they are spread over all processors of a large VM, each wakes up another processor, which
+// costs a third more CPU time and increases the tail latency of the first token.
 func limitProcessors(s settings.Settings) {
 	if os.Getenv("GOMAXPROCS") == "" {
 		runtime.GOMAXPROCS(min(runtime.NumCPU(), s.Process.Processors))
 	}
 }
 
-// serve runs the role of the settings until a signal ends it.
+// serve runs the configured role until SIGTERM or SIGINT. It returns the exit status.
 func serve(s settings.Settings) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	if err := runRole(ctx, s); err != nil {
-		log.WithError(err).Error("failed")
+		log.WithError(err).Error("process failed")
 		return exitFailed
 	}
 	return exitOK
@@ -92,7 +91,7 @@
 	}
 }
 
-// setUpLog sets the format and level that the settings ask for.
+// setUpLog configures the format and level of the log.
 func setUpLog(s settings.Settings) {
 	log.SetHandler(json.New(os.Stderr))
 	if s.Log.Format == "text" {
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -1,4 +1,4 @@
-// Package examples_test checks that the worked examples are accepted.
+// Package examples_test checks that the example settings and configurations are valid.
 package examples_test
 
 import (
@@ -19,8 +19,9 @@
 	RunSpecs(t, "examples")
 }
 
-// site reads one example: the settings by file name and the configuration.
-func site(name string) (map[string]settings.Settings, fleetconfig.Config) {
+// loadExample returns the settings files of an example by name, and its fleet
+// configuration.
+func loadExample(name string) (map[string]settings.Settings, fleetconfig.Config) {
 	GinkgoHelper()
 	files, err := filepath.Glob(filepath.Join(name, "*.yaml"))
 	Expect(err).NotTo(HaveOccurred())
@@ -37,9 +38,9 @@
 }
 
 var _ = Describe("The examples", func() {
-	It("are accepted and differ where the two sites do", func() {
-		hanbit, hanbitConfig := site("hanbit")
-		authority, authorityConfig := site("authority")
+	It("are valid and have the settings of their sites", func() {
+		hanbit, hanbitConfig := loadExample("hanbit")
+		authority, authorityConfig := loadExample("authority")
 		Expect(hanbit).To(HaveLen(4))
 		Expect(authority).To(HaveLen(4))
 
@@ -54,9 +55,9 @@
 			To(BeNumerically("<", *authorityConfig.EffectiveValues(models, now).RoleChangeCost))
 	})
 
-	It("have a sidecar for each service of the entry, and of the same region", func() {
+	It("have a sidecar in the entry's region for each service", func() {
 		for _, name := range []string{"hanbit", "authority"} {
-			all, _ := site(name)
+			all, _ := loadExample(name)
 			entry := all["entry.yaml"]
 			for file, s := range all {
 				Expect(s.Process.Region).To(Equal(entry.Process.Region), file)
