--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -3,84 +3,86 @@
 
 import "time"
 
-// Role is which part of a request an engine serves.
+// Role is the phase of requests that an engine serves.
 type Role string
 
-// The roles. Plain services have none.
+// Roles of engines. Servers of plain services have NoRole.
 const (
 	NoRole  Role = ""
 	Prefill Role = "prefill"
 	Decode  Role = "decode"
 )
 
-// Server is a backend server as it registered itself.
+// Server is a backend server as registered in the store.
 type Server struct {
-	// ID names one server process; a start may keep the id of the one before.
+	// ID identifies the server. It may stay the same when the server restarts.
 	ID string
-	// Incarnation tells starts under the same ID apart: the time of the start
-	// by the server's own clock, 0 if unknown.
+	// Incarnation distinguishes starts with the same ID: the start time by the
+	// server's own clock, or 0 if unknown.
 	Incarnation int64
 	Service     string
-	// Address is an IP number and a port.
+	// Address is the server's IP:PORT.
 	Address    string
 	DataCentre string
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that it runs concurrently.
 	Slots int
-	// Draining servers get nothing new.
+	// Draining servers receive no new requests.
 	Draining bool
-	// ColdFor is how much longer it is slow after its start, when it wrote so.
+	// WarmUpRemaining is how much longer the server expects to be slow after its
+	// start, if it registered that.
 	WarmUpRemaining time.Duration
 	Role            Role
 }
 
-// Instance is one start of a server.
+// Instance identifies one start of a server.
 type Instance struct {
 	ID          string
 	Incarnation int64
 }
 
-// Instance returns the start that the server's entry is of.
+// Instance returns the start that the server's record describes.
 func (s Server) Instance() Instance { return Instance{ID: s.ID, Incarnation: s.Incarnation} }
 
-// Load is what a server says of its work.
+// Load is the load that a server reports.
 type Load struct {
 	Running, Waiting, Slots int
 }
 
-// Order asks an engine for a change of role.
+// Order instructs an engine to change its role.
 type Order struct {
 	Role Role
-	// Holder names the process that gives orders, Fence its fencing token.
+	// Holder is the process that holds the lease, and Fence its fencing token.
 	Holder string
 	Fence  int64
-	// Expect is the number of orders that the engine must have accepted so far.
+	// Expect is the precondition: the number of orders that the engine must have
+	// accepted so far.
 	Expect int64
 }
 
-// OrderResult is an engine's answer to an order.
+// OrderResult is the result of sending an order to an engine.
 type OrderResult uint8
 
 const (
-	// OrderUnknown: the order may be carried out, now or later.
+	// OrderUnknown means that the order may have taken effect or may still do so.
 	OrderUnknown OrderResult = iota
-	// OrderAccepted: the change goes on.
+	// OrderAccepted means that the engine has started the change.
 	OrderAccepted
-	// OrderHolds: the engine already is as ordered.
+	// OrderAlreadyApplied means that the engine already has the ordered role.
 	OrderAlreadyApplied
-	// OrderRejected: the engine did nothing and never will.
+	// OrderRejected means that the order has not taken effect and never will.
 	OrderRejected
 )
 
-// String returns the name used in logs.
+// String returns the name of the result as used in logs.
 func (r OrderResult) String() string {
 	return [...]string{"unknown", "accepted", "holds", "rejected"}[r]
 }
 
-// EngineState is what an engine reports of orders.
+// EngineState is the role and the state of orders that an engine reports.
 type EngineState struct {
 	Role Role
-	// Orders counts the orders accepted since the engine's start.
+	// Orders is the number of orders accepted since the engine started.
 	Orders int64
-	// Changing says that an order is being carried out.
+	// Changing reports whether an accepted order is still in progress.
 	Changing bool
 }
--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,8 +1,9 @@
-// Package boottime reads the clock that goes on while a VM is suspended.
+// Package boottime reads a monotonic clock that includes the time during which
+// the VM was suspended.
 //
-// The steady clock of the language's runtime stands still meanwhile: a process
-// that was suspended for ten seconds would believe a lease of three seconds to
-// be valid still. The time of day may be set in either direction.
+// The monotonic clock of the Go runtime stops during a suspension: with it, a
+// process that was suspended for ten seconds would still consider a lease of
+// three seconds valid. The wall clock may be set forwards or backwards.
 package boottime
 
 import (
@@ -12,12 +13,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the time since the VM was started, suspended time included.
+// Now returns the time since the VM was booted, including suspended time.
 func Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// A clock that cannot be read must not keep a lease valid.
-		log.WithField("error", err.Error()).Error("boot-time clock not readable")
+		// The maximum makes every lease expire if the clock cannot be read.
+		log.WithField("error", err.Error()).Error("failed to read the boot-time clock")
 		return 1<<63 - 1
 	}
 	return time.Duration(ts.Nano())
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,6 +1,6 @@
-// Package daemon holds what the processes of all roles have in common: the
-// supervisor tree, the identity of one start of the process, and the order of
-// its shutdown.
+// Package daemon has what the processes of all roles share: the supervisor tree,
+// the incarnation that identifies a start of the process, and the shutdown
+// sequence.
 package daemon
 
 import (
@@ -20,37 +20,38 @@
 )
 
 const (
-	// stopTimeout is how long a duty may take to end.
+	// stopTimeout bounds the time that a duty may take to stop.
 	stopTimeout = 5 * time.Second
-	// restartPause is how long a duty that keeps panicking rests. The longer
-	// default of the library would leave callers without answers.
-	restartPause = time.Second
+	// restartBackoff is the delay before a duty that panics repeatedly is
+	// restarted. It is shorter than the default of suture, so that callers do
+	// not go without responses for that long.
+	restartBackoff = time.Second
 )
 
-// Incarnation is random per start of the process.
+// Incarnation is a random id for one start of the process.
 type Incarnation uuid.UUID
 
-// NewIncarnation returns the Incarnation of this start.
+// NewIncarnation returns a new random Incarnation.
 func NewIncarnation() Incarnation { return Incarnation(uuid.New()) }
 
-// String returns the incarnation as it goes over links.
+// String returns the incarnation in the form that is sent over links.
 func (i Incarnation) String() string { return uuid.UUID(i).String() }
 
-// NewSupervisor returns the root of a process's supervisor tree. A duty that
-// panics is restarted alone.
+// NewSupervisor returns the root of a process's supervisor tree. If a duty
+// panics, only that duty is restarted.
 func NewSupervisor(name string) *suture.Supervisor {
 	return suture.New(name, suture.Spec{
-		EventHook:      logEvent,
+		EventHook:      logSupervisorEvent,
 		Timeout:        stopTimeout,
-		FailureBackoff: restartPause,
+		FailureBackoff: restartBackoff,
 	})
 }
 
-func logEvent(event suture.Event) {
+func logSupervisorEvent(event suture.Event) {
 	log.WithField("event", event.String()).Warn("supervisor")
 }
 
-// NewClient provides the platform's client from the settings.
+// NewClient returns a client of the platform configured by the settings in i.
 func NewClient(i do.Injector) (*sharedstate.Client, error) {
 	s := do.MustInvoke[settings.Settings](i)
 	return sharedstate.NewClient(sharedstate.ClientConfig{
@@ -59,20 +60,21 @@
 	}), nil
 }
 
-// Serve runs the duties of root until ctx ends, then shutDown, then ends the
-// duties. They outlive ctx, for requests in flight need them to the end.
+// Serve runs the duties of root until ctx is done, then calls shutDown and stops
+// the duties. The duties keep running during shutDown, because requests in flight
+// need them until they finish.
 func Serve(ctx context.Context, root *suture.Supervisor, shutDown func(context.Context)) error {
 	duties, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	ended := root.ServeBackground(duties)
+	stopped := root.ServeBackground(duties)
 	select {
 	case <-ctx.Done():
-	case err := <-ended:
-		return eris.Wrap(err, "supervisor ended")
+	case err := <-stopped:
+		return eris.Wrap(err, "supervisor stopped")
 	}
 	shutDown(duties)
 	stop()
-	err := <-ended
+	err := <-stopped
 	if errors.Is(err, context.Canceled) {
 		return nil
 	}
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -1,56 +1,62 @@
-// Package deployment is what a process is told about where it runs: its own
-// addresses and limits, the store, and the bounds that the operators set.
+// Package deployment defines the deployment settings of a gateway: its addresses
+// and limits, the store, and the bounds set by the operators.
 package deployment
 
 import "time"
 
-// Deployment is read from the settings file at the start and on reload.
+// Deployment has the settings from the settings file, which is read at the start
+// and on reload.
 type Deployment struct {
-	// Name is the VM's; it is unique in the deployment.
+	// Name is the name of the VM, which is unique in the deployment.
 	Name       string
 	DataCentre string
-	// FirstStart says that the whole system starts for the first time: engines
-	// keep nothing yet.
+	// Bootstrap means that the whole system starts for the first time: the
+	// engines have cached nothing yet.
 	Bootstrap bool
-	// IP is the VM's own address.
+	// IP is the address of the VM.
 	IP string
-	// Callers is where callers' requests arrive, Readiness where the balancer
-	// asks whether to send any. Both are IP:PORT.
+	// CallerAddress is the address that serves callers' requests, and
+	// ReadinessAddress the one that serves the balancer's readiness checks. Both
+	// are IP:PORT.
 	CallerAddress, ReadinessAddress string
-	// PeerPort is the UDP port for processes of the system; the same on each VM.
+	// PeerPort is the UDP port for gossip between gateways, the same on each VM.
 	PeerPort int
-	// Neighbours is where other gateways ask this one for what it knows, empty
-	// for nowhere; Seeds are the same addresses of up to three others, which may
-	// be down or gone.
+	// StateAddress is the address where other gateways can fetch this gateway's
+	// view of the fleet; it is not served if empty. SeedAddresses are these
+	// addresses of up to three other gateways, which may be down or removed.
 	StateAddress  string
 	SeedAddresses []string
-	// Store is the address of the metadata store.
+	// StoreAddress is the address of the metadata store.
 	StoreAddress string
-	// MemoryBytes and Descriptors bound this process.
+	// MaxMemoryBytes and MaxFileDescriptors limit the memory and the open files of
+	// this process.
 	MaxMemoryBytes     int64
 	MaxFileDescriptors int
-	// Heartbeat is how often backend servers renew their entry in the store.
+	// HeartbeatInterval is the interval at which backend servers renew their
+	// records in the store.
 	HeartbeatInterval time.Duration
 	Bounds            Bounds
 }
 
-// Bounds are the operators' figures.
+// Bounds has the time and rate limits that the operators set.
 type Bounds struct {
-	// DrainTimeout is how long after the store confirmed that a server leaves
-	// it may still get requests.
+	// DrainTimeout is how long a server may still receive requests after the
+	// store confirmed that it is draining.
 	DrainTimeout time.Duration
-	// Grace is the time from SIGTERM to SIGKILL.
+	// GracePeriod is the time between SIGTERM and SIGKILL.
 	GracePeriod time.Duration
-	// ConfigApply is how long a confirmed configuration may take to be in force.
+	// ConfigApplyTimeout is the maximum time until a confirmed configuration must
+	// be active.
 	ConfigApplyTimeout time.Duration
-	// Contact is how long a VM must have been undisturbed to be held to bounds.
+	// ContactTime is how long a VM must have been free of faults before these
+	// bounds apply to it.
 	ContactTime time.Duration
-	// RetryShare and RetrySlack bound the sends beyond the first of each
-	// request that a service gets in RetryWindow from all VMs together:
-	// RetryShare of its requests and RetrySlack more.
+	// RetryShare and RetrySlack bound the retries for a service within RetryWindow
+	// by all VMs together: RetryShare of the number of its requests, plus
+	// RetrySlack.
 	RetryShare  float64
 	RetrySlack  float64
 	RetryWindow time.Duration
-	// Lease is how long after an order another process may not give one.
+	// OrderLease is how long after an order no other process may issue one.
 	OrderLease time.Duration
 }
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain keeps a bounded log of decisions, so that operators can ask
-// why a request or an engine was treated as it was.
+// Package explain keeps a bounded in-memory log of decisions, so that operators
+// can find out why a request was routed or an engine was assigned as it was.
 package explain
 
 import (
@@ -12,12 +12,12 @@
 )
 
 const (
-	// subjectSize is how many records of one subject are kept. A request has
-	// a handful; an engine whose plan flaps may have one each second.
-	subjectSize = 64
-	// namedSize is how many records are kept of subjects that are not requests.
-	// They are few: an engine gets one when what it is to be changes.
-	namedSize = 8192
+	// maxRecordsPerSubject bounds the records of one subject. A request has only
+	// a few; an engine whose planned role flaps may get one each second.
+	maxRecordsPerSubject = 64
+	// maxOtherRecords bounds the records of subjects that are not requests. They
+	// are few: an engine gets one only when its wanted state changes.
+	maxOtherRecords = 8192
 )
 
 // Record is one decision.
@@ -25,110 +25,112 @@
 	At time.Time `json:"at"`
 	// Subject is a request id or the name of a backend server.
 	Subject string `json:"subject"`
-	// Decision says what was decided, Why from which inputs.
+	// Decision is what was decided, and Reason the inputs that led to it.
 	Decision string `json:"decision"`
 	Reason   string `json:"why"`
 }
 
-// Log holds the newest records. Any goroutine may use it.
+// Log holds the newest records. It is safe for concurrent use.
 //
-// Requests and everything else are kept apart: thousands of requests a minute
-// would otherwise push out the one record that says why an engine changed its
-// role an hour ago.
+// Records of requests are kept separately from all others: otherwise thousands
+// of requests a minute would evict the only record that explains why an engine
+// changed its role an hour ago.
 type Log struct {
 	mu       sync.Mutex
-	requests *shelf
-	named    *shelf
+	requests *boundedLog
+	others   *boundedLog
 }
 
-// New returns a Log for the newest size records about requests, at least
-// subjectSize, and namedSize records about everything else.
+// New returns a Log that keeps size records about requests, but no fewer than
+// maxRecordsPerSubject, and maxOtherRecords records about everything else.
 func New(size int) *Log {
 	return &Log{
-		requests: newShelf(max(size, subjectSize)),
-		named:    newShelf(namedSize),
+		requests: newBoundedLog(max(size, maxRecordsPerSubject)),
+		others:   newBoundedLog(maxOtherRecords),
 	}
 }
 
-// Add appends a record. A subject that is a UUID is a request.
-func (l *Log) Add(now time.Time, subject, decision, why string) {
+// Add appends a record. A subject that is a UUID is taken as a request id.
+func (l *Log) Add(now time.Time, subject, decision, reason string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.shelfOf(subject).add(Record{At: now, Subject: subject, Decision: decision, Reason: why})
+	l.logFor(subject).add(Record{At: now, Subject: subject, Decision: decision, Reason: reason})
 }
 
-// About returns the records of a subject, the oldest first; of all subjects if
-// it is empty.
+// RecordsFor returns the records of subject, oldest first, or those of all subjects
+// if subject is empty.
 func (l *Log) RecordsFor(subject string) []Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if subject != "" {
-		return l.shelfOf(subject).about(subject)
+		return l.logFor(subject).recordsFor(subject)
 	}
-	all := append(l.requests.all(), l.named.all()...)
+	all := append(l.requests.all(), l.others.all()...)
 	slices.SortStableFunc(all, func(a, b Record) int { return a.At.Compare(b.At) })
 	return all
 }
 
-func (l *Log) shelfOf(subject string) *shelf {
+func (l *Log) logFor(subject string) *boundedLog {
 	if uuid.Validate(subject) == nil {
 		return l.requests
 	}
-	return l.named
+	return l.others
 }
 
-// shelf holds at most size records. It forgets the oldest records of a subject
-// that has more than subjectSize, and whole subjects when it is full, those
-// first that were added to longest ago.
-type shelf struct {
+// boundedLog holds at most size records. It drops the oldest records of a subject
+// that has more than maxRecordsPerSubject. When full, it evicts all records of
+// the least recently updated subject.
+type boundedLog struct {
 	size     int
 	count    int
 	subjects map[string]*list.Element
-	// order has a *history for each subject, the last added to at the back.
-	order *list.List
+	// byLastUpdate has a *history for each subject, the most recently updated at
+	// the back.
+	byLastUpdate *list.List
 }
 
-// history is what is known of one subject.
+// history holds the records of one subject.
 type history struct {
 	subject string
 	records []Record
 }
 
-func newShelf(size int) *shelf {
-	return &shelf{size: size, subjects: map[string]*list.Element{}, order: list.New()}
+func newBoundedLog(size int) *boundedLog {
+	return &boundedLog{size: size, subjects: map[string]*list.Element{}, byLastUpdate: list.New()}
 }
 
-func (s *shelf) add(r Record) {
-	h := s.touch(r.Subject)
+func (s *boundedLog) add(r Record) {
+	h := s.historyOf(r.Subject)
 	h.records = append(h.records, r)
 	s.count++
-	if len(h.records) > subjectSize {
+	if len(h.records) > maxRecordsPerSubject {
 		h.records = slices.Delete(h.records, 0, 1)
 		s.count--
 	}
 	for s.count > s.size {
-		s.forgetOldest()
+		s.evictOldest()
 	}
 }
 
-// touch returns the history of a subject, as the last one added to.
-func (s *shelf) touch(subject string) *history {
+// historyOf returns the history of a subject, which it creates if needed, and
+// marks it as the most recently updated.
+func (s *boundedLog) historyOf(subject string) *history {
 	element, known := s.subjects[subject]
 	if !known {
-		element = s.order.PushBack(&history{subject: subject})
+		element = s.byLastUpdate.PushBack(&history{subject: subject})
 		s.subjects[subject] = element
 	}
-	s.order.MoveToBack(element)
+	s.byLastUpdate.MoveToBack(element)
 	return element.Value.(*history)
 }
 
-func (s *shelf) forgetOldest() {
-	oldest := s.order.Remove(s.order.Front()).(*history)
+func (s *boundedLog) evictOldest() {
+	oldest := s.byLastUpdate.Remove(s.byLastUpdate.Front()).(*history)
 	delete(s.subjects, oldest.subject)
 	s.count -= len(oldest.records)
 }
 
-func (s *shelf) about(subject string) []Record {
+func (s *boundedLog) recordsFor(subject string) []Record {
 	element, known := s.subjects[subject]
 	if !known {
 		return []Record{}
@@ -136,9 +138,9 @@
 	return slices.Clone(element.Value.(*history).records)
 }
 
-func (s *shelf) all() []Record {
+func (s *boundedLog) all() []Record {
 	all := make([]Record, 0, s.count)
-	for element := s.order.Front(); element != nil; element = element.Next() {
+	for element := s.byLastUpdate.Front(); element != nil; element = element.Next() {
 		all = append(all, element.Value.(*history).records...)
 	}
 	return all
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -24,7 +24,7 @@
 
 var start = time.Date(2026, 3, 1, 9, 0, 0, 0, time.UTC)
 
-// request returns the id of a request.
+// request returns the id of the nth request.
 func request(n int) string {
 	return uuid.NewSHA1(uuid.NameSpaceOID, []byte(fmt.Sprint(n))).String()
 }
@@ -42,9 +42,9 @@
 		Expect(log.RecordsFor("m2")).To(BeEmpty())
 	})
 
-	// An engine changed its role at night and thousands of requests followed.
-	// In the morning the operator asks why, and the record must be there.
-	It("does not forget an engine over many requests", func() {
+	// Guards against losing the record of an engine's role change when thousands
+	// of requests follow before an operator looks it up.
+	It("keeps the records of an engine while many requests are added", func() {
 		log := explain.New(64)
 		log.Add(start, "m1", "prefill", "decode engines idle")
 		for i := range 1000 {
@@ -55,9 +55,9 @@
 		Expect(log.RecordsFor(request(999))).To(HaveLen(1))
 	})
 
-	// One engine's plan flaps and writes a record each second. The others'
-	// few records must not go for it.
-	It("does not forget a quiet engine over a noisy one", func() {
+	// Guards against an engine whose planned role flaps, and so adds a record
+	// each second, evicting the few records of the other engines.
+	It("keeps the records of an engine while another adds many", func() {
 		log := explain.New(64)
 		log.Add(start, "quiet", "prefill", "decode engines idle")
 		for i := range 20_000 {
@@ -69,7 +69,7 @@
 		Expect(noisy[63].Decision).To(Equal("19999"))
 	})
 
-	It("keeps the newest records within its size", func() {
+	It("keeps the newest records and never exceeds its size", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			const size = 70
 			log := explain.New(size)
--- a/internal/fleetconfig/bench_test.go
+++ b/internal/fleetconfig/bench_test.go
@@ -6,8 +6,8 @@
 	"pistachioroad.dev/pistachioroad/internal/fleetconfig"
 )
 
-// BenchmarkFor measures the look-up that an entry makes for each request.
-func BenchmarkFor(b *testing.B) {
+// BenchmarkEffectiveValues measures the lookup that an entry does for each request.
+func BenchmarkEffectiveValues(b *testing.B) {
 	batch := "batch"
 	c := fleetconfig.Config{Defaults: fleetconfig.Values{Class: &batch}}
 	for range fleetconfig.MaxExceptions {
--- a/internal/fleetconfig/change.go
+++ b/internal/fleetconfig/change.go
@@ -10,34 +10,34 @@
 	"github.com/samber/lo"
 )
 
-// Stamp says who edits, when and under which ids.
+// EditMetadata is the metadata of an edit: its author, time and ids.
 type EditMetadata struct {
 	Author string
 	At     time.Time
-	// EditID is random per edit and WriteID per write.
+	// EditID is random for each edit, WriteID for each write.
 	EditID  string
 	WriteID string
-	// BaseVersion is the version of the object that is edited.
+	// BaseVersion is the version of the object that the edit is based on.
 	BaseVersion uint64
 }
 
-// Change is one change of the configuration. Exactly one field is set.
+// Change is one change to the configuration. Exactly one field must be set.
 type Change struct {
-	// SetDefaults sets the defaults that it names.
+	// SetDefaults has the defaults to set; nil fields are left unchanged.
 	SetDefaults *Values `json:"set_defaults,omitempty"`
-	// UnsetDefaults gives the named defaults their built-in values again.
+	// UnsetDefaults lists the keys to reset to their built-in values.
 	UnsetDefaults []string `json:"unset_defaults,omitempty"`
-	// AddException adds an exception.
+	// AddException is an exception to add.
 	AddException *NewException `json:"add_exception,omitempty"`
-	// RemoveException is the id of an exception.
+	// RemoveException is the id of the exception to remove.
 	RemoveException string `json:"remove_exception,omitempty"`
-	// Drain takes a backend server out of service.
+	// Drain has the backend server to take out of service.
 	Drain *Drain `json:"drain,omitempty"`
-	// Undrain is the backend server whose drains end.
+	// Undrain is the name of the backend server to put back into service.
 	Undrain string `json:"undrain,omitempty"`
 }
 
-// NewException is an Exception that has no id yet.
+// NewException is an exception to add. Apply assigns its id, author and time.
 type NewException struct {
 	Scope   Scope      `json:"scope"`
 	Values  Values     `json:"values"`
@@ -51,43 +51,43 @@
 	Reason        string `json:"reason"`
 }
 
-// ErrChange says that a change cannot be made to this configuration.
+// ErrInvalidChange means that a change is invalid for this configuration.
 var ErrInvalidChange = eris.New("change not possible")
 
-// Apply returns c with the changes made, each with a line in the history, or
-// an error and c as it was. Exceptions that have expired at by.At are removed.
-// It does not change c.
-func Apply(c Config, by EditMetadata, changes ...Change) (Config, error) {
-	if blank(by.Author) || len(by.Author) > MaxName {
+// Apply returns a copy of c with the changes applied, each with an entry in the
+// history. On an error it returns c unchanged. It removes exceptions that have
+// expired by metadata.At.
+func Apply(c Config, metadata EditMetadata, changes ...Change) (Config, error) {
+	if blank(metadata.Author) || len(metadata.Author) > MaxName {
 		return c, eris.Wrapf(ErrInvalidChange, "an author of 1 to %d characters is required", MaxName)
 	}
 	if len(changes) == 0 {
 		return c, eris.Wrap(ErrInvalidChange, "there is nothing to change")
 	}
-	e := editor{config: c.clone(), by: by}
+	e := editor{config: c.clone(), metadata: metadata}
 	e.removeExpired()
 	for _, change := range changes {
 		if err := e.apply(change); err != nil {
 			return c, err
 		}
 	}
-	e.config.WriteID = by.WriteID
-	e.config.History = lastLines(e.config.History, MaxHistory)
+	e.config.WriteID = metadata.WriteID
+	e.config.History = lastEdits(e.config.History, MaxHistory)
 	if err := e.config.Validate(); err != nil {
 		return c, eris.Wrap(ErrInvalidChange, err.Error())
 	}
 	return e.config, nil
 }
 
-// editor makes changes to its own copy of a configuration.
+// editor applies changes to its own copy of a configuration.
 type editor struct {
-	config Config
-	by     EditMetadata
-	added  int
+	config          Config
+	metadata        EditMetadata
+	addedExceptions int
 }
 
 func (e *editor) apply(change Change) error {
-	if change.kinds() != 1 {
+	if change.countKinds() != 1 {
 		return eris.Wrap(ErrInvalidChange, "a change must have exactly one kind")
 	}
 	switch {
@@ -106,8 +106,8 @@
 	}
 }
 
-// kinds counts the fields that are set.
-func (c Change) kinds() int {
+// countKinds returns the number of fields that are set.
+func (c Change) countKinds() int {
 	return lo.CountBy([]bool{
 		c.SetDefaults != nil, c.UnsetDefaults != nil, c.AddException != nil,
 		c.RemoveException != "", c.Drain != nil, c.Undrain != "",
@@ -115,11 +115,11 @@
 }
 
 func (e *editor) setDefaults(v Values) error {
-	if v.empty() {
+	if v.isEmpty() {
 		return eris.Wrap(ErrInvalidChange, "no default is given")
 	}
 	e.config.Defaults = overlay(e.config.Defaults, v)
-	e.note("set defaults " + v.String())
+	e.addHistory("set defaults " + v.String())
 	return nil
 }
 
@@ -130,15 +130,15 @@
 		}
 		e.config.Defaults = e.config.Defaults.without(key)
 	}
-	e.note("unset defaults " + strings.Join(keys, ", "))
+	e.addHistory("unset defaults " + strings.Join(keys, ", "))
 	return nil
 }
 
 func (e *editor) addException(n NewException) error {
-	if n.Expires != nil && !n.Expires.After(e.by.At) {
+	if n.Expires != nil && !n.Expires.After(e.metadata.At) {
 		return eris.Wrap(ErrInvalidChange, "the exception would have expired already")
 	}
-	if err := checkEffect(n); err != nil {
+	if err := checkScopeOfKeys(n); err != nil {
 		return err
 	}
 	added := Exception{
@@ -146,30 +146,30 @@
 		Scope:   n.Scope,
 		Values:  n.Values,
 		Reason:  strings.TrimSpace(n.Reason),
-		Author:  e.by.Author,
-		At:      e.by.At,
+		Author:  e.metadata.Author,
+		At:      e.metadata.At,
 		Expires: n.Expires,
 	}
 	e.config.Exceptions = append(e.config.Exceptions, added)
-	e.note(fmt.Sprintf("add exception %s for %s: %s (%s)", added.ID, added.Scope, added.Values, added.Reason))
+	e.addHistory(fmt.Sprintf("add exception %s for %s: %s (%s)", added.ID, added.Scope, added.Values, added.Reason))
 	return nil
 }
 
-// keysByService are looked up by service and model only: an entry decides on
-// them before it knows where a request goes, the planner for all engines of a
-// model together.
-var keysByService = []string{
+// serviceScopedKeys are looked up by service and model only: an entry needs them
+// before it has selected a backend server, and the planner uses them for all
+// engines of a model together.
+var serviceScopedKeys = []string{
 	"account_tokens_per_second", "change_dwell", "class", "deadline", "idempotent",
 	"max_changes_in_flight", "retry_share", "role_change_cost",
 }
 
-// checkEffect refuses a value that nothing would look up within its scope. It
-// would stand in the list as if it were in force.
-func checkEffect(n NewException) error {
+// checkScopeOfKeys rejects values that are never looked up within their scope.
+// They would be listed as if they were effective.
+func checkScopeOfKeys(n NewException) error {
 	if n.Scope.DataCentre == "" && n.Scope.BackendServer == "" {
 		return nil
 	}
-	without := lo.Intersect(keysByService, lo.Keys(n.Values.fields()))
+	without := lo.Intersect(serviceScopedKeys, lo.Keys(n.Values.jsonFields()))
 	if len(without) > 0 {
 		return eris.Wrapf(ErrInvalidChange, "%s has no effect for a single data centre or backend server; use the scope of a service or model",
 			strings.Join(without, ", "))
@@ -183,7 +183,7 @@
 		return eris.Wrapf(ErrInvalidChange, "there is no exception %q", id)
 	}
 	e.config.Exceptions = kept
-	e.note("remove exception " + id)
+	e.addHistory("remove exception " + id)
 	return nil
 }
 
@@ -198,70 +198,71 @@
 	})
 }
 
-// undrain removes the exceptions that do nothing but drain the backend server.
+// undrain removes the exceptions that only drain the backend server.
 func (e *editor) undrain(backendServer string) error {
 	kept := lo.Reject(e.config.Exceptions, func(x Exception, _ int) bool {
-		return x.Scope == Scope{BackendServer: backendServer} && x.Values.String() == onlyDrained
+		return x.Scope == Scope{BackendServer: backendServer} && x.Values.String() == drainedText
 	})
 	if len(kept) == len(e.config.Exceptions) {
 		return eris.Wrapf(ErrInvalidChange, "no exception drains just %q", backendServer)
 	}
 	e.config.Exceptions = kept
-	e.note("undrain " + backendServer)
+	e.addHistory("undrain " + backendServer)
 	return nil
 }
 
-const onlyDrained = "drained=true"
+const drainedText = "drained=true"
 
 func (e *editor) removeExpired() {
 	e.config.Exceptions = lo.Reject(e.config.Exceptions, func(x Exception, _ int) bool {
-		if x.expired(e.by.At) {
-			e.note("exception " + x.ID + " has expired")
+		if x.expired(e.metadata.At) {
+			e.addHistory("exception " + x.ID + " has expired")
 			return true
 		}
 		return false
 	})
 }
 
-// idLength is how much of the edit's id an exception's id has.
-const idLength = 8
+// exceptionIDLength is the number of trailing characters of the edit's id that
+// are used in an exception's id.
+const exceptionIDLength = 8
 
-// newID returns an id that people can type. Ids made by counting would come
-// again after a removal, and an operator who removes "the third one" from an
-// old listing would hit another exception.
+// newID returns an id that is short enough to type. It is not a sequence number,
+// because numbers would be reused after a removal, and an operator with an
+// outdated listing would remove the wrong exception.
 func (e *editor) newID() string {
-	e.added++
-	id := e.by.EditID
-	id = "x" + id[max(0, len(id)-idLength):]
-	if e.added > 1 {
-		id += fmt.Sprintf("-%d", e.added)
+	e.addedExceptions++
+	id := e.metadata.EditID
+	id = "x" + id[max(0, len(id)-exceptionIDLength):]
+	if e.addedExceptions > 1 {
+		id += fmt.Sprintf("-%d", e.addedExceptions)
 	}
 	return id
 }
 
-func (e *editor) note(what string) {
+func (e *editor) addHistory(what string) {
 	const maxLine = MaxReason + 4*MaxName
 	e.config.History = append(e.config.History, Edit{
-		At:          e.by.At,
-		Author:      e.by.Author,
+		At:          e.metadata.At,
+		Author:      e.metadata.Author,
 		What:        strings.ToValidUTF8(what[:min(len(what), maxLine)], ""),
-		EditID:      e.by.EditID,
-		WriteID:     e.by.WriteID,
-		BaseVersion: e.by.BaseVersion,
+		EditID:      e.metadata.EditID,
+		WriteID:     e.metadata.WriteID,
+		BaseVersion: e.metadata.BaseVersion,
 	})
 }
 
-// Has reports whether the edit is part of c. It is not found any more once
-// MaxHistory later lines have pushed it out.
+// HasEdit reports whether the history of c contains the edit. An edit is no
+// longer found once MaxHistory newer entries have replaced it.
 func (c Config) HasEdit(editID string) bool {
 	return slices.ContainsFunc(c.History, func(e Edit) bool { return e.EditID == editID })
 }
 
-// Since returns the lines of the history that were made on version or a later
-// one, and whether the history reaches back that far.
-func (c Config) EditsSince(version uint64) (lines []Edit, whole bool) {
-	lines = lo.Filter(c.History, func(e Edit, _ int) bool { return e.BaseVersion >= version })
-	return lines, len(c.History) < MaxHistory || len(lines) < len(c.History)
+// EditsSince returns the history entries of edits based on version or a later
+// one, and whether the history is complete back to version.
+func (c Config) EditsSince(version uint64) (edits []Edit, complete bool) {
+	edits = lo.Filter(c.History, func(e Edit, _ int) bool { return e.BaseVersion >= version })
+	return edits, len(c.History) < MaxHistory || len(edits) < len(c.History)
 }
 
 func (c Config) clone() Config {
@@ -270,6 +271,6 @@
 	return c
 }
 
-func lastLines(history []Edit, count int) []Edit {
+func lastEdits(history []Edit, count int) []Edit {
 	return history[max(0, len(history)-count):]
 }
--- a/internal/fleetconfig/compare.go
+++ b/internal/fleetconfig/compare.go
@@ -7,7 +7,7 @@
 	"github.com/samber/lo"
 )
 
-// Difference is one thing that a change would set, and how it stands.
+// Difference compares a value that a change would set with the current one.
 type Difference struct {
 	Key     string `json:"key"`
 	Yours   string `json:"yours" doc:"What the edit would have set"`
@@ -19,8 +19,8 @@
 	textRemoved = "removed"
 )
 
-// Compare returns what the changes would set, beside how c stands. It shows an
-// operator whose edit came second both values.
+// Compare returns the values that the changes would set and the current ones in
+// c. It is shown to an operator whose edit conflicts with an earlier one.
 func Compare(c Config, changes []Change) []Difference {
 	return lo.FlatMap(changes, func(change Change, _ int) []Difference { return c.compare(change) })
 }
@@ -38,14 +38,14 @@
 	case change.RemoveException != "":
 		return c.compareRemoved(change.RemoveException)
 	case change.Drain != nil:
-		return c.compareScope(Scope{BackendServer: change.Drain.BackendServer}, onlyDrained)
+		return c.compareScope(Scope{BackendServer: change.Drain.BackendServer}, drainedText)
 	default:
 		return c.compareScope(Scope{BackendServer: change.Undrain}, textRemoved)
 	}
 }
 
 func (c Config) compareDefaults(v Values) []Difference {
-	keys := lo.Keys(v.fields())
+	keys := lo.Keys(v.jsonFields())
 	slices.Sort(keys)
 	return lo.Map(keys, func(key string, _ int) Difference {
 		return Difference{Key: key, Yours: v.Text(key), Current: c.defaultText(key)}
@@ -79,7 +79,7 @@
 	return BuiltInText(key)
 }
 
-// BuiltInText returns the built-in value of a key as operators see it.
+// BuiltInText returns the built-in value of a key as it is shown to operators.
 func BuiltInText(key string) string {
 	text := BuiltIn().Text(key)
 	if text == "" {
--- a/internal/fleetconfig/fleetconfig_test.go
+++ b/internal/fleetconfig/fleetconfig_test.go
@@ -55,7 +55,7 @@
 		Expect(v.String()).To(Equal("adapters=a,b class=batch deadline=2s idempotent=true role_change_cost=5 weights=7"))
 	})
 
-	DescribeTable("refuses", func(pair, want string) {
+	DescribeTable("rejects", func(pair, want string) {
 		_, err := fleetconfig.ParseValues([]string{pair})
 		Expect(err).To(MatchError(ContainSubstring(want)))
 	},
@@ -70,7 +70,7 @@
 })
 
 var _ = Describe("Apply", func() {
-	It("sets and unsets defaults and notes both", func() {
+	It("sets and unsets defaults and records both in the history", func() {
 		c := apply(fleetconfig.Config{}, "e1", fleetconfig.Change{SetDefaults: ptr(values("role_change_cost=5", "class=batch"))})
 		Expect(*c.EffectiveValues(fleetconfig.Scope{}, start).RoleChangeCost).To(Equal(5.0))
 		c = apply(c, "e2", fleetconfig.Change{UnsetDefaults: []string{"role_change_cost"}})
@@ -80,7 +80,7 @@
 		Expect(c.WriteID).To(Equal("w-e2"))
 	})
 
-	It("drains a backend server and takes it back, and leaves other exceptions alone", func() {
+	It("drains and undrains a backend server without changing its other exceptions", func() {
 		m1 := fleetconfig.Scope{BackendServer: "gangnam-m1"}
 		c := apply(fleetconfig.Config{}, "e1", addException(m1, "slow disk", "drain_timeout=9s"))
 		c = apply(c, "e2", fleetconfig.Change{Drain: &fleetconfig.Drain{BackendServer: "gangnam-m1", Reason: "new GPU"}})
@@ -92,7 +92,7 @@
 		Expect(err).To(MatchError(fleetconfig.ErrInvalidChange))
 	})
 
-	It("removes what has expired and says so", func() {
+	It("removes expired exceptions and records it in the history", func() {
 		c := apply(fleetconfig.Config{}, "e1", fleetconfig.Change{AddException: &fleetconfig.NewException{
 			Scope: fleetconfig.Scope{Service: "holds"}, Values: values("deadline=9s"),
 			Reason: "fair week", Expires: ptr(start.Add(time.Hour)),
@@ -105,7 +105,7 @@
 		Expect(c.History[1].What).To(ContainSubstring("has expired"))
 	})
 
-	It("keeps a bounded history", func() {
+	It("bounds the history", func() {
 		c := fleetconfig.Config{}
 		for i := range fleetconfig.MaxHistory + 5 {
 			c = apply(c, fmt.Sprint("e", i), fleetconfig.Change{SetDefaults: ptr(values("class=batch"))})
@@ -114,9 +114,9 @@
 		Expect(c.HasEdit("e0")).To(BeFalse())
 	})
 
-	// Somebody turns the list of exceptions into a second configuration, or
-	// writes one that nobody will understand in a month.
-	DescribeTable("refuses and leaves the configuration as it was", func(change fleetconfig.Change, want string) {
+	// Guards against exceptions that are too many to review, give no reason or
+	// have no effect.
+	DescribeTable("rejects and leaves the configuration unchanged", func(change fleetconfig.Change, want string) {
 		before := fleetconfig.Config{}
 		for i := range fleetconfig.MaxExceptions {
 			before = apply(before, fmt.Sprintf("%08d", i), addException(fleetconfig.Scope{Service: "s"}, "r", "class=batch"))
@@ -144,10 +144,10 @@
 	)
 })
 
-var _ = Describe("For", func() {
-	// A field that the overlay of defaults and exceptions leaves out could be
-	// set and shown, and would never be in force.
-	It("puts every field of an exception in force over the defaults", func() {
+var _ = Describe("EffectiveValues", func() {
+	// Guards against a field that is missing in overlay: it could be set and
+	// listed but would never take effect.
+	It("applies every field of an exception over the defaults", func() {
 		defaults := values("role_change_cost=1", "max_changes_in_flight=1", "change_dwell=1s", "deadline=1s",
 			"class=normal", "idempotent=false", "retry_share=0.01", "account_tokens_per_second=1",
 			"claim_retention=1m", "drain_timeout=1s", "weights=a", "adapters=a", "drained=false")
@@ -167,7 +167,7 @@
 })
 
 var _ = Describe("Compare", func() {
-	It("shows what each kind of change would set beside how it stands", func() {
+	It("returns the requested and the current value for each kind of change", func() {
 		c := apply(fleetconfig.Config{}, "e1",
 			fleetconfig.Change{SetDefaults: ptr(values("role_change_cost=5"))},
 			fleetconfig.Change{Drain: &fleetconfig.Drain{BackendServer: "m1", Reason: "new GPU"}})
@@ -187,7 +187,7 @@
 })
 
 var _ = Describe("Parse", func() {
-	It("reads back what Encode wrote", func() {
+	It("decodes what Encode returned", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			c := fleetconfig.Config{}
 			for i := range rapid.IntRange(0, 8).Draw(t, "edits") {
@@ -204,9 +204,9 @@
 		})
 	})
 
-	// A newer release writes a field that this one does not know. Taking the
-	// rest would put a configuration in force that nobody wrote.
-	It("refuses a field that it does not know", func() {
+	// Guards against applying part of a configuration that a newer release wrote
+	// with an additional field: nobody intended that part alone.
+	It("rejects an unknown field", func() {
 		_, err := fleetconfig.Parse([]byte(`{"write_id":"w","defaults":{"speed":1}}`))
 		Expect(err).To(MatchError(ContainSubstring("speed")))
 	})
@@ -230,8 +230,9 @@
 
 func ptr[T any](v T) *T { return &v }
 
-// The object is written by other processes, perhaps of another release. What
-// is accepted must survive being written and read again unchanged.
+// FuzzParse checks that an accepted configuration stays the same when it is
+// encoded and parsed again. The object is written by other processes, possibly of
+// another release.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"write_id":"w","defaults":{"class":"batch","deadline":"2s","adapters":["a"]}}`))
 	f.Add([]byte(`{"write_id":"w","defaults":{},"exceptions":[{"id":"x1","scope":{"service":"s"},` +
@@ -248,10 +249,10 @@
 		}
 		again, err := fleetconfig.Parse(first)
 		if err != nil {
-			t.Fatalf("%s is refused: %v", first, err)
+			t.Fatalf("%s is rejected: %v", first, err)
 		}
 		if second, _ := again.Encode(); string(first) != string(second) {
-			t.Fatalf("%s became %s", first, second)
+			t.Fatalf("%s was encoded again as %s", first, second)
 		}
 	})
 }
--- a/internal/fleetconfig/validate.go
+++ b/internal/fleetconfig/validate.go
@@ -14,32 +14,31 @@
 	"github.com/rotisserie/eris"
 )
 
-// The bounds of the object. Every process holds it and gets it anew at each
-// edit, so it has to stay small; and exceptions that nobody can survey any
-// more are no exceptions but a second, hidden configuration.
+// Limits of the object. It must stay small, because every process holds it and
+// receives all of it after each edit. The exceptions must also remain few enough
+// to review; too many would amount to a second, hidden configuration.
 const (
-	// MaxExceptions is how many exceptions there may be.
 	MaxExceptions = 64
-	// MaxHistory is how many lines of the history are kept.
+	// MaxHistory is the number of history entries that are retained.
 	MaxHistory = 100
-	// MaxReason and MaxName are lengths in bytes.
+	// MaxReason and MaxName are maximum lengths in bytes.
 	MaxReason = 500
 	MaxName   = 128
-	// MaxAdapters is how many adapters an engine may be told to load.
+	// MaxAdapters bounds the adapters that an engine may be configured to load.
 	MaxAdapters = 64
 )
 
-// MaxRetryShare is the largest share of retries. With more, retries add so
-// much work to a fleet that already fails that it cannot recover.
+// MaxRetryShare is the maximum of RetryShare. With a larger share, retries would
+// add so much load to a failing fleet that it could not recover.
 const MaxRetryShare = 0.1
 
 const (
-	maxRoleChangeCost = 3600.0
-	maxChanges        = 100
-	maxAccountTokens  = 100_000_000
+	maxRoleChangeCost         = 3600.0
+	maxChangesInFlight        = 100
+	maxAccountTokensPerSecond = 100_000_000
 )
 
-// Problems are all things that are wrong with values or a configuration.
+// Problems is the list of all errors in values or a configuration.
 type Problems []string
 
 // Error returns the problems, separated by semicolons.
@@ -56,9 +55,9 @@
 	return p
 }
 
-// Parse reads a Config from the object's value and checks it. Unknown fields
-// are errors: an older process must not put a configuration in force of which
-// it understands only a part.
+// Parse decodes a Config from the object's value and validates it. Unknown fields
+// are errors, so that a process of an older release does not apply a
+// configuration that it understands only in part.
 func Parse(data []byte) (Config, error) {
 	var c Config
 	if err := decodeStrict(data, &c); err != nil {
@@ -67,7 +66,7 @@
 	return c, eris.Wrap(c.Validate(), "fleet configuration")
 }
 
-// Encode returns the object's value of c.
+// Encode returns c encoded as the object's value.
 func (c Config) Encode() ([]byte, error) {
 	data, err := json.Marshal(c)
 	return data, eris.Wrap(err, "encode fleet configuration")
@@ -85,11 +84,11 @@
 	return nil
 }
 
-// Validate returns a Problems with all that is wrong with c, or nil.
+// Validate returns a Problems with all errors in c, or nil.
 func (c Config) Validate() error {
 	var p Problems
 	c.Defaults.check(&p, "defaults")
-	if set(c.Defaults.Drained) {
+	if isTrue(c.Defaults.Drained) {
 		p.add("defaults: drained would take the whole fleet out of service; drain backend servers by exceptions")
 	}
 	if len(c.Exceptions) > MaxExceptions {
@@ -122,10 +121,10 @@
 	}
 	e.Scope.check(p, where)
 	e.Values.check(p, where)
-	if e.Values.empty() {
+	if e.Values.isEmpty() {
 		p.add("%s: it sets no value", where)
 	}
-	if set(e.Values.Drained) && e.Scope.DataCentre == "" && e.Scope.BackendServer == "" {
+	if isTrue(e.Values.Drained) && e.Scope.DataCentre == "" && e.Scope.BackendServer == "" {
 		p.add("%s: drained needs the scope of a data centre or a backend server", where)
 	}
 }
@@ -141,7 +140,7 @@
 	}
 }
 
-// Validate returns a Problems with all that is wrong with v, or nil.
+// Validate returns a Problems with all errors in v, or nil.
 func (v Values) Validate() error {
 	var p Problems
 	v.check(&p, "values")
@@ -150,11 +149,11 @@
 
 func (v Values) check(p *Problems, where string) {
 	checkRange(p, where, "role_change_cost", v.RoleChangeCost, 0, maxRoleChangeCost)
-	checkRange(p, where, "max_changes_in_flight", v.MaxChangesInFlight, 0, maxChanges)
+	checkRange(p, where, "max_changes_in_flight", v.MaxChangesInFlight, 0, maxChangesInFlight)
 	checkRange(p, where, "change_dwell", v.ChangeDwell, 0, Duration(24*time.Hour))
 	checkRange(p, where, "deadline", v.Deadline, Duration(time.Millisecond), Duration(time.Hour))
 	checkRange(p, where, "retry_share", v.RetryShare, 0, MaxRetryShare)
-	checkRange(p, where, "account_tokens_per_second", v.AccountTokensPerSecond, 0, maxAccountTokens)
+	checkRange(p, where, "account_tokens_per_second", v.AccountTokensPerSecond, 0, maxAccountTokensPerSecond)
 	checkRange(p, where, "claim_retention", v.ClaimRetention, Duration(time.Minute), Duration(30*24*time.Hour))
 	checkRange(p, where, "drain_timeout", v.DrainTimeout, 0, Duration(time.Hour))
 	if v.Class != nil && !slices.Contains(classes, *v.Class) {
@@ -183,13 +182,13 @@
 	if value == nil {
 		return
 	}
-	// The comparison is written so that a number that is none is refused.
+	// The negated form also rejects NaN.
 	if !(*value >= low && *value <= high) {
 		p.add("%s: %s is %v, expected %v to %v", where, key, printable(*value), printable(low), printable(high))
 	}
 }
 
-// printable shows a Duration with its unit.
+// printable converts a Duration to time.Duration, which prints with its unit.
 func printable[T any](value T) any {
 	if d, ok := any(value).(Duration); ok {
 		return time.Duration(d)
@@ -197,8 +196,8 @@
 	return value
 }
 
-func (v Values) empty() bool { return string(mustJSON(v)) == "{}" }
+func (v Values) isEmpty() bool { return string(encodeValues(v)) == "{}" }
 
 func blank(text string) bool { return strings.TrimSpace(text) == "" }
 
-func set(value *bool) bool { return value != nil && *value }
+func isTrue(value *bool) bool { return value != nil && *value }
--- a/internal/fleetconfig/values.go
+++ b/internal/fleetconfig/values.go
@@ -30,24 +30,24 @@
 	all := BuiltIn()
 	all.Weights = ptr("")
 	all.Adapters = []string{""}
-	keys := lo.Keys(all.fields())
+	keys := lo.Keys(all.jsonFields())
 	slices.Sort(keys)
 	return keys
 }
 
-// String returns the values that are set, in the form "class=batch
-// deadline=30s", sorted by key.
+// String returns the values that are set, sorted by key, in the form
+// "class=batch deadline=30s".
 func (v Values) String() string {
-	fields := v.fields()
+	fields := v.jsonFields()
 	keys := lo.Keys(fields)
 	slices.Sort(keys)
 	parts := lo.Map(keys, func(key string, _ int) string { return key + "=" + v.Text(key) })
 	return strings.Join(parts, " ")
 }
 
-// Text returns the value of a key as operators write it; empty: not set.
+// Text returns the value of a key as operators write it, or "" if it is not set.
 func (v Values) Text(key string) string {
-	raw, ok := v.fields()[key]
+	raw, ok := v.jsonFields()[key]
 	if !ok {
 		return ""
 	}
@@ -63,20 +63,20 @@
 }
 
 func (v Values) without(key string) Values {
-	fields := v.fields()
+	fields := v.jsonFields()
 	delete(fields, key)
-	return fromFields(fields)
+	return valuesFromFields(fields)
 }
 
-func (v Values) fields() map[string]json.RawMessage {
+func (v Values) jsonFields() map[string]json.RawMessage {
 	fields := map[string]json.RawMessage{}
-	if json.Unmarshal(mustJSON(v), &fields) != nil {
+	if json.Unmarshal(encodeValues(v), &fields) != nil {
 		return nil
 	}
 	return fields
 }
 
-func fromFields(fields map[string]json.RawMessage) Values {
+func valuesFromFields(fields map[string]json.RawMessage) Values {
 	var v Values
 	data, err := json.Marshal(fields)
 	if err == nil {
@@ -88,7 +88,7 @@
 	return v
 }
 
-// ParseValues reads values from KEY=VALUE pairs and checks them.
+// ParseValues parses and validates values given as KEY=VALUE pairs.
 func ParseValues(pairs []string) (Values, error) {
 	var v Values
 	for _, pair := range pairs {
@@ -105,8 +105,8 @@
 	return v, eris.Wrap(v.Validate(), "values")
 }
 
-// parseValue tries the forms that a field may have in JSON: as it stands (a
-// number or a truth value), as a text, and as a list of texts.
+// parseValue tries the JSON types that a field may have: text itself as a number
+// or boolean, a string, and a list of strings separated by commas.
 func parseValue(key, text string) (Values, error) {
 	list, _ := json.Marshal(strings.Split(text, ","))
 	quoted, _ := json.Marshal(text)
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,7 +1,8 @@
-// Package invariant checks, inside the running program, what must always hold.
+// Package invariant checks invariants at run time.
 //
-// In production a breach is counted and logged, and the program goes on; tests
-// and randomised runs call PanicOnBreach so that the first breach ends the run.
+// In production a violation is counted and logged, and the program continues.
+// Tests and randomised runs call PanicOnViolation so that the first violation
+// aborts the run.
 package invariant
 
 import (
@@ -13,39 +14,39 @@
 )
 
 var (
-	panics   atomic.Bool
-	checks   = metrics.GetOrRegisterCounter("invariant.checks", nil)
-	breaches = metrics.GetOrRegisterCounter("invariant.breaches", nil)
+	panicOnViolation atomic.Bool
+	checks           = metrics.GetOrRegisterCounter("invariant.checks", nil)
+	violations       = metrics.GetOrRegisterCounter("invariant.breaches", nil)
 )
 
-// PanicOnBreach makes every later breach panic with a Breach.
-func PanicOnViolation() { panics.Store(true) }
+// PanicOnViolation makes every later violation panic with a Violation.
+func PanicOnViolation() { panicOnViolation.Store(true) }
 
-// Breach is the panic value of a failed check.
+// Violation is the panic value of a failed check.
 type Violation struct {
 	Name   string
 	Detail string
 }
 
-func (b Violation) Error() string { return "invariant " + b.Name + ": " + b.Detail }
+func (v Violation) Error() string { return "invariant " + v.Name + ": " + v.Detail }
 
-// Check records a breach of the named invariant unless ok holds. The detail is
-// formatted only on a breach.
+// Check records a violation of the named invariant unless ok is true. The detail
+// is formatted only on a violation.
 func Check(ok bool, name, format string, args ...any) {
 	checks.Inc(1)
 	if ok {
 		return
 	}
-	breaches.Inc(1)
-	b := Violation{Name: name, Detail: fmt.Sprintf(format, args...)}
-	log.WithField("invariant", name).Error(b.Error())
-	if panics.Load() {
-		panic(b)
+	violations.Inc(1)
+	v := Violation{Name: name, Detail: fmt.Sprintf(format, args...)}
+	log.WithField("invariant", name).Error(v.Error())
+	if panicOnViolation.Load() {
+		panic(v)
 	}
 }
 
-// Checks returns how many checks have been done since the program began.
+// Checks returns the number of checks since the program started.
 func Checks() int64 { return checks.Count() }
 
-// Breaches returns how many checks have failed since the program began.
-func Violations() int64 { return breaches.Count() }
+// Violations returns the number of failed checks since the program started.
+func Violations() int64 { return violations.Count() }
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,8 +1,8 @@
-// Package logsink writes log lines without ever blocking those who log.
+// Package logsink writes log lines asynchronously, so that logging never blocks.
 //
-// A process whose standard output is read slowly would otherwise serve slowly:
-// each line waits for the one before. Lines that do not fit the bounded queue
-// are dropped and counted by the queue's metric.
+// Otherwise a slow reader of the process's standard output would delay requests,
+// because each write waits for the one before. Lines that do not fit into the
+// bounded queue are dropped and counted by the queue's metric.
 package logsink
 
 import (
@@ -12,30 +12,31 @@
 	"pistachioroad.dev/pistachioroad/internal/ring"
 )
 
-// queued bounds the lines that wait: about 1 MB, and some seconds of a busy
-// entry.
-const queued = 2_048
+// maxQueuedLines bounds the queue: about 1 MB, or a few seconds of log lines of a
+// busy process.
+const maxQueuedLines = 2_048
 
-// Sink is an io.Writer for whole lines.
+// Writer is an io.Writer that takes one whole line per call of Write.
 type Writer struct {
 	lines *ring.Ring[[]byte]
 	done  chan struct{}
 }
 
-// New returns a Sink that writes to w.
+// New returns a Writer that writes to w in its own goroutine, which Close ends.
 func New(w io.Writer) *Writer {
-	s := &Writer{lines: ring.New[[]byte]("log", queued, ring.Reject), done: make(chan struct{})}
+	s := &Writer{lines: ring.New[[]byte]("log", maxQueuedLines, ring.Reject), done: make(chan struct{})}
 	go s.drain(w)
 	return s
 }
 
-// Write queues one line. It never fails and never blocks.
+// Write queues one line, or drops it if the queue is full. It never fails and
+// never blocks.
 func (s *Writer) Write(line []byte) (int, error) {
 	s.lines.Put(append([]byte(nil), line...))
 	return len(line), nil
 }
 
-// Close writes what is queued and ends.
+// Close writes the queued lines and stops the goroutine.
 func (s *Writer) Close() {
 	s.lines.Put(nil)
 	<-s.done
@@ -55,6 +56,6 @@
 			return
 		}
 	}
-	// There is nowhere left to report a failure of the log itself.
+	// An error is ignored: there is nowhere to report a failure of the log itself.
 	_ = out.Flush()
 }
--- a/internal/operator/dump.go
+++ b/internal/operator/dump.go
@@ -9,25 +9,25 @@
 	"time"
 )
 
-// dutyTimeout is how long one duty has to give its state.
+// dutyTimeout bounds how long a dump waits for the state of a duty.
 const dutyTimeout = time.Second
 
-// The conditions of a duty in a dump.
+// Conditions of a duty in a dump.
 const (
-	// DutyOK says that the duty gave its state.
+	// DutyOK means that the duty returned its state.
 	DutyOK = "ok"
-	// DutyStuck says that it gave none in time.
+	// DutyStuck means that the duty did not return its state within dutyTimeout.
 	DutyStuck = "stuck"
-	// DutyFailed says that giving its state failed.
+	// DutyFailed means that reading or encoding the state failed.
 	DutyFailed = "failed"
 )
 
-// DumpFunc returns the state of one duty as something that encodes to JSON. It
-// should ask the duty through its inbox, so that it answers only if the duty
-// still works, and give up when ctx ends.
+// DumpFunc returns the state of a duty as a value that can be encoded to JSON.
+// It should request the state through the duty's inbox, so that a duty that no
+// longer processes its inbox is detected, and return when ctx is done.
 type DumpFunc func(ctx context.Context) any
 
-// DutyState is one duty in a Dump.
+// DutyState is the state of one duty in a Dump.
 type DutyState struct {
 	Condition string          `json:"condition" enum:"ok,stuck,failed"`
 	Detail    string          `json:"detail,omitempty" doc:"Why there is no state"`
@@ -41,16 +41,17 @@
 	Duties  map[string]DutyState `json:"duties"`
 }
 
-// dumper asks the duties for their states.
+// dumper collects the states of all duties.
 type dumper struct {
 	duties map[string]*dutyProbe
 }
 
-// dutyProbe asks one duty, and never twice at a time. A stuck duty holds the
-// goroutine that asked it; asking anew at each dump would pile them up.
+// dutyProbe queries one duty, with at most one query in progress. A query of a
+// stuck duty blocks its goroutine; a new one for each dump would accumulate
+// blocked goroutines.
 type dutyProbe struct {
-	dump DumpFunc
-	busy atomic.Bool
+	dump       DumpFunc
+	inProgress atomic.Bool
 }
 
 func newDumper(duties map[string]DumpFunc) *dumper {
@@ -61,7 +62,7 @@
 	return d
 }
 
-// states asks all duties at once.
+// states queries all duties concurrently.
 func (d *dumper) states(ctx context.Context) map[string]DutyState {
 	ctx, cancel := context.WithTimeout(ctx, dutyTimeout)
 	defer cancel()
@@ -72,7 +73,7 @@
 	)
 	for name, probe := range d.duties {
 		wg.Go(func() {
-			state := probe.ask(ctx)
+			state := probe.query(ctx)
 			mu.Lock()
 			defer mu.Unlock()
 			states[name] = state
@@ -82,14 +83,14 @@
 	return states
 }
 
-// ask returns when the duty has answered or ctx has ended.
-func (p *dutyProbe) ask(ctx context.Context) DutyState {
-	if !p.busy.CompareAndSwap(false, true) {
+// query returns when the duty has answered or ctx is done.
+func (p *dutyProbe) query(ctx context.Context) DutyState {
+	if !p.inProgress.CompareAndSwap(false, true) {
 		return DutyState{Condition: DutyStuck, Detail: "has not answered an earlier dump"}
 	}
 	answer := make(chan DutyState, 1)
 	go func() {
-		defer p.busy.Store(false)
+		defer p.inProgress.Store(false)
 		answer <- p.state(ctx)
 	}()
 	select {
--- a/internal/operator/edit.go
+++ b/internal/operator/edit.go
@@ -17,68 +17,68 @@
 )
 
 const (
-	// readTimeout bounds a read of the configuration.
+	// readTimeout bounds a read of the configuration from the store.
 	readTimeout  = 3 * time.Second
 	maxEditBytes = 256 << 10
 )
 
-// The sources of a ConfigView.
+// Sources of a ConfigView.
 const (
-	// SourceStore says that the configuration was read from the store.
+	// SourceStore means that the configuration was read from the store.
 	SourceStore = "store"
-	// SourceInForce says that the store could not be read, and that the
-	// configuration is the one in force at the entry that answers.
+	// SourceActive means that the store could not be read and that the
+	// configuration is the one active on the responding entry.
 	SourceActive = "in_force"
 )
 
-// ConfigView is the fleet configuration as an entry shows it.
+// ConfigView is the fleet configuration as an entry returns it.
 type ConfigView struct {
 	Version uint64 `json:"version"`
 	Source  string `json:"source" enum:"store,in_force"`
-	// InForce is the version in force at the entry that answers.
+	// InForce is the version active on the responding entry.
 	InForce uint64             `json:"in_force"`
 	Config  fleetconfig.Config `json:"config"`
 }
 
-// EditRequest asks for changes of the configuration.
+// EditRequest requests changes to the configuration.
 type EditRequest struct {
-	// EditID is random per edit. A request sent again with the same id is not
-	// made twice.
+	// EditID is random for each edit. A request that is repeated with the same
+	// id is applied only once.
 	EditID      string               `json:"edit_id" minLength:"8" maxLength:"64" pattern:"^[0-9A-Za-z-]+$"`
 	Author      string               `json:"author" minLength:"1" maxLength:"128"`
 	BaseVersion uint64               `json:"base_version" doc:"Version that the edit was made on; 0: there is none yet"`
 	Changes     []fleetconfig.Change `json:"changes" minItems:"1" maxItems:"16"`
 }
 
-// EditOutcome says what became of an edit.
+// EditOutcome is the outcome of an edit.
 type EditOutcome string
 
-// The outcomes of an edit.
+// Outcomes of an edit.
 const (
 	EditApplied EditOutcome = "applied"
-	// EditConflict says that another edit came first; nothing was changed.
+	// EditConflict means that another edit was applied first; nothing was changed.
 	EditConflict EditOutcome = "conflict"
-	// EditRefused says that the edit is not allowed; nothing was changed.
+	// EditRejected means that the edit is invalid; nothing was changed.
 	EditRejected EditOutcome = "refused"
-	// EditUnknown says that the edit may be in force, now or later.
+	// EditUnknown means that the edit may have been applied or may still be applied.
 	EditUnknown EditOutcome = "unknown"
-	// EditStoreUnavailable says that the store could not be reached; nothing
+	// EditStoreUnavailable means that the store could not be reached; nothing
 	// was changed.
 	EditStoreUnavailable EditOutcome = "store_unavailable"
 )
 
-// EditResult is the answer to an EditRequest.
+// EditResult is the response to an EditRequest.
 type EditResult struct {
 	Outcome EditOutcome `json:"outcome"`
 	EditID  string      `json:"edit_id"`
 	Message string      `json:"message"`
-	// Version is the version of the store's object as far as it is known.
+	// Version is the last known version of the object in the store.
 	Version uint64 `json:"version"`
-	// Differences and Since are set on a conflict: what the edit would have
-	// set beside what is set now, and the edits made since its base.
+	// Differences and Since are set on a conflict: the requested values next to
+	// the current ones, and the edits made since the base version.
 	Differences []fleetconfig.Difference `json:"differences,omitempty"`
 	Since       []fleetconfig.Edit       `json:"since,omitempty"`
-	// Warnings are about names that the fleet does not have.
+	// Warnings lists names in the changes that are not in the VM list.
 	Warnings []string `json:"warnings,omitempty"`
 }
 
@@ -90,10 +90,10 @@
 	EditStoreUnavailable: http.StatusServiceUnavailable,
 }
 
-// errConflict and errApplied end an update before it writes.
+// errConflict and errAlreadyApplied abort an update before it writes.
 var (
-	errConflict = eris.New("another edit came first")
-	errApplied  = eris.New("the edit is in force already")
+	errConflict       = eris.New("another edit came first")
+	errAlreadyApplied = eris.New("the edit is in force already")
 )
 
 type configOutput struct{ Body ConfigView }
@@ -126,8 +126,8 @@
 }
 
 func (s *Server) edit(ctx context.Context, in *editInput) (*editOutput, error) {
-	// An operator who hangs up does not end the search for the outcome: the
-	// log must still say what became of the edit.
+	// The edit continues if the operator disconnects, so that its outcome is
+	// still determined and logged.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.config.EditTimeout)
 	defer cancel()
 	request := in.Body
@@ -136,7 +136,7 @@
 		func(base sharedstate.Object, writeID string) ([]byte, error) {
 			return applyEdit(base, writeID, request, now)
 		})
-	result := resultOf(request, object, outcome, err)
+	result := newEditResult(request, object, outcome, err)
 	if result.Outcome == EditApplied {
 		s.sources.Fleet.Accept(object)
 		result.Warnings = s.warnings(ctx, request.Changes)
@@ -148,14 +148,14 @@
 	return &editOutput{Status: statusOfOutcome[result.Outcome], Body: result}, nil
 }
 
-// applyEdit returns the new value of the object.
+// applyEdit returns the value of the object with the edit applied.
 func applyEdit(base sharedstate.Object, writeID string, r EditRequest, now time.Time) ([]byte, error) {
 	config, err := decodeConfig(base)
 	if err != nil {
 		return nil, err
 	}
 	if config.HasEdit(r.EditID) {
-		return nil, errApplied
+		return nil, errAlreadyApplied
 	}
 	if base.Version != r.BaseVersion {
 		return nil, errConflict
@@ -173,19 +173,19 @@
 	return config.Encode()
 }
 
-// resultOf turns the end of an update into the operator's answer. The store's
-// errors come in two kinds that must not be mixed up: with one the edit is
-// certainly not in force, with the other nobody knows.
-func resultOf(r EditRequest, object sharedstate.Object, outcome sharedstate.Outcome, err error) EditResult {
+// newEditResult converts the outcome of an update to the operator's response.
+// It must keep two kinds of store errors apart: those after which the edit has
+// certainly not been applied, and those after which it may have been.
+func newEditResult(r EditRequest, object sharedstate.Object, outcome sharedstate.Outcome, err error) EditResult {
 	result := EditResult{EditID: r.EditID, Version: object.Version}
 	switch {
-	case outcome == sharedstate.Applied, errors.Is(err, errApplied):
+	case outcome == sharedstate.Applied, errors.Is(err, errAlreadyApplied):
 		result.Outcome = EditApplied
 		result.Message = fmt.Sprintf("in force as of version %d", object.Version)
 	case outcome == sharedstate.Superseded, errors.Is(err, errConflict), errors.Is(err, sharedstate.ErrConflict):
-		return conflict(r, object, outcome)
+		return conflictResult(r, object, outcome)
 	case outcome == sharedstate.OutcomeUnknown:
-		return unknown(r, object)
+		return unknownResult(r, object)
 	case errors.Is(err, sharedstate.ErrUnavailable), errors.Is(err, sharedstate.ErrNotSent):
 		result.Outcome = EditStoreUnavailable
 		result.Message = "the platform's store cannot be reached; nothing was changed: " + err.Error()
@@ -196,12 +196,13 @@
 	return result
 }
 
-// conflict shows the operator whose edit came second both values.
-func conflict(r EditRequest, current sharedstate.Object, outcome sharedstate.Outcome) EditResult {
+// conflictResult returns the requested and the current values for an edit that
+// lost a race, or an unknown result if that cannot be established.
+func conflictResult(r EditRequest, current sharedstate.Object, outcome sharedstate.Outcome) EditResult {
 	config, err := decodeConfig(current)
-	since, whole := config.EditsSince(r.BaseVersion)
-	if err != nil || (outcome == sharedstate.Superseded && !whole) {
-		return unknown(r, current)
+	since, complete := config.EditsSince(r.BaseVersion)
+	if err != nil || (outcome == sharedstate.Superseded && !complete) {
+		return unknownResult(r, current)
 	}
 	return EditResult{
 		Outcome: EditConflict,
@@ -214,7 +215,7 @@
 	}
 }
 
-func unknown(r EditRequest, object sharedstate.Object) EditResult {
+func unknownResult(r EditRequest, object sharedstate.Object) EditResult {
 	return EditResult{
 		Outcome: EditUnknown,
 		EditID:  r.EditID,
@@ -224,27 +225,28 @@
 	}
 }
 
-// warnings names what the changes mention and the fleet does not have. It is
-// no error, for a VM may be on its way; but a slip of the pen in a drain
-// otherwise shows only when the wrong machine is opened.
+// warnings lists the names in changes that are not in the VM list. They are not
+// errors, because a VM may not be listed yet; but without a warning, a mistyped
+// name in a drain would be noticed only when the wrong machine is serviced.
 func (s *Server) warnings(ctx context.Context, changes []fleetconfig.Change) []string {
 	peers, err := s.sources.Fleet.Peers(ctx)
 	if err != nil {
 		return []string{"names were not compared with the VM list: " + err.Error()}
 	}
 	warnings := []string{}
-	for _, scope := range scopes(changes) {
-		if !knows(peers, scope.BackendServer, func(p Peer) string { return p.Name }) {
+	for _, scope := range changedScopes(changes) {
+		if !hasPeer(peers, scope.BackendServer, func(p Peer) string { return p.Name }) {
 			warnings = append(warnings, "the VM list has no backend server "+scope.BackendServer)
 		}
-		if !knows(peers, scope.DataCentre, func(p Peer) string { return p.DataCentre }) {
+		if !hasPeer(peers, scope.DataCentre, func(p Peer) string { return p.DataCentre }) {
 			warnings = append(warnings, "the VM list has no data centre "+scope.DataCentre)
 		}
 	}
 	return warnings
 }
 
-func scopes(changes []fleetconfig.Change) []fleetconfig.Scope {
+// changedScopes returns the scopes of the exceptions and drains in changes.
+func changedScopes(changes []fleetconfig.Change) []fleetconfig.Scope {
 	return lo.FilterMap(changes, func(c fleetconfig.Change, _ int) (fleetconfig.Scope, bool) {
 		switch {
 		case c.AddException != nil:
@@ -257,11 +259,13 @@
 	})
 }
 
-func knows(peers []Peer, name string, of func(Peer) string) bool {
-	return name == "" || lo.ContainsBy(peers, func(p Peer) bool { return of(p) == name })
+// hasPeer reports whether a field of any peer equals name, or name is empty.
+func hasPeer(peers []Peer, name string, field func(Peer) string) bool {
+	return name == "" || lo.ContainsBy(peers, func(p Peer) bool { return field(p) == name })
 }
 
-// decodeConfig reads an object; one that does not exist is an empty Config.
+// decodeConfig decodes an object. An object that does not exist decodes to an
+// empty Config.
 func decodeConfig(o sharedstate.Object) (fleetconfig.Config, error) {
 	if o.Version == 0 {
 		return fleetconfig.Config{}, nil
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -10,16 +10,16 @@
 	"pistachioroad.dev/pistachioroad/internal/sharedstate"
 )
 
-// Fleet is what an entry knows of the whole fleet.
+// Fleet provides an entry's view of the whole fleet.
 type Fleet interface {
-	// Status returns the entry's picture of the fleet.
+	// Status returns the status of the fleet as the entry sees it.
 	Status(ctx context.Context) (Status, error)
 	// Peers returns the operator addresses of all other known processes.
 	Peers(ctx context.Context) ([]Peer, error)
-	// Config returns the fleet configuration in force at this entry.
+	// Config returns the fleet configuration active on this entry.
 	Config() sharedstate.Object
-	// Accept hands a newer fleet configuration to the entry, so that it is in
-	// force here before the watch brings it.
+	// Accept passes a newer fleet configuration to the entry, so that it becomes
+	// active here without waiting for the watch to deliver it.
 	Accept(sharedstate.Object)
 }
 
@@ -32,9 +32,9 @@
 	Service string
 }
 
-// Status is one entry's picture of the fleet.
+// Status is the status of the fleet as one entry sees it.
 type Status struct {
-	// Entry is the process that answers.
+	// Entry is the name of the responding process.
 	Entry     string               `json:"entry"`
 	At        time.Time            `json:"at"`
 	Planner   string               `json:"planner,omitempty" doc:"Entry that holds the planner lease"`
@@ -45,47 +45,48 @@
 	VMListAge fleetconfig.Duration `json:"vm_list_age"`
 }
 
-// ProcessState says how a process looks from the entry.
+// ProcessState is the state of a process as the entry sees it.
 type ProcessState string
 
-// The states of a process.
+// States of a process.
 const (
 	ProcessUp       ProcessState = "up"
 	ProcessDraining ProcessState = "draining"
-	// ProcessLeaving is on its way out according to the VM list.
+	// ProcessLeaving means that the VM list marks the process as leaving.
 	ProcessLeaving ProcessState = "leaving"
-	// ProcessSilent has sent no heartbeat for link.SilentAfter.
+	// ProcessSilent means that no heartbeat arrived for link.SilenceTimeout.
 	ProcessSilent ProcessState = "silent"
-	// ProcessUnlinked is in the VM list, but this entry keeps no link to it.
+	// ProcessUnlinked means that the process is in the VM list, but this entry
+	// maintains no link to it.
 	ProcessUnlinked ProcessState = "unlinked"
 )
 
-// ProcessStatus is one process.
+// ProcessStatus is the status of one process.
 type ProcessStatus struct {
 	Name       string       `json:"name"`
 	Kind       string       `json:"kind" doc:"entry or sidecar"`
 	DataCentre string       `json:"data_centre"`
 	Service    string       `json:"service,omitempty"`
 	State      ProcessState `json:"state"`
-	// LastHeard is how long ago the process was last heard of.
+	// LastHeard is the time since the last frame from the process.
 	LastHeard fleetconfig.Duration `json:"last_heard"`
-	// Versions are the object versions in force there, by object name.
+	// Versions are the object versions active on the process, by object name.
 	Versions map[string]uint64 `json:"versions,omitempty"`
-	// Work is that of a backend server; nil if it is not known.
+	// Work is the load of a backend server; nil if unknown.
 	Work *WorkStatus `json:"work,omitempty"`
 }
 
-// WorkStatus is the work of a backend server as its sidecar reports it.
+// WorkStatus is the load of a backend server as reported by its sidecar.
 type WorkStatus struct {
 	Running int `json:"running"`
 	Queued  int `json:"queued"`
-	// Admitting says that the sidecar takes new work.
+	// Admitting reports whether the sidecar accepts new requests.
 	Admitting bool `json:"admitting"`
-	// Drained says that an operator took the backend server out of service.
+	// Drained reports whether an operator took the backend server out of service.
 	Drained bool `json:"drained"`
 }
 
-// EngineState is what an engine is to be, or is.
+// EngineState is the wanted or actual state of an engine.
 type EngineState struct {
 	Generation uint64   `json:"generation"`
 	Role       string   `json:"role"`
@@ -94,7 +95,7 @@
 	Adapters   []string `json:"adapters,omitempty"`
 }
 
-// EngineStatus is one model engine.
+// EngineStatus is the status of one model engine.
 type EngineStatus struct {
 	BackendServer string      `json:"backend_server"`
 	DataCentre    string      `json:"data_centre"`
@@ -102,28 +103,28 @@
 	Actual        EngineState `json:"actual"`
 	Drained       bool        `json:"drained"`
 	Admitting     bool        `json:"admitting"`
-	// Changing says that the engine is not yet what it is to be.
+	// Changing reports whether the actual state still differs from the wanted one.
 	Changing bool `json:"changing"`
 	Running  int  `json:"running"`
 	Queued   int  `json:"queued"`
 }
 
-// PendingChange is a planned change that is not in force yet.
+// PendingChange is a planned change that has not taken effect yet.
 type PendingChange struct {
 	BackendServer string `json:"backend_server"`
 	What          string `json:"what"`
 	Reason        string `json:"reason"`
 }
 
-// StoreStatus is how the platform's store looks from the entry.
+// StoreStatus is the status of the platform's store as the entry sees it.
 type StoreStatus struct {
 	Healthy bool `json:"healthy"`
-	// LastSuccess is how long ago the last call succeeded.
+	// LastSuccess is the time since the last successful call.
 	LastSuccess fleetconfig.Duration `json:"last_success"`
 	Error       string               `json:"error,omitempty"`
 }
 
-// registerFleet adds what only an entry serves.
+// registerFleet registers the operations that only an entry serves.
 func (s *Server) registerFleet(api huma.API) {
 	huma.Get(api, "/fleet/status", s.status, summary("The fleet as this entry sees it"))
 	huma.Get(api, "/fleet/config", s.getConfig, summary("The fleet configuration and its version"))
--- a/internal/operator/fleet_test.go
+++ b/internal/operator/fleet_test.go
@@ -21,12 +21,13 @@
 	"pistachioroad.dev/pistachioroad/internal/sharedstate"
 )
 
-// fakeStore holds one object. Its faults are switched by the tests.
+// fakeStore stores one object and injects faults.
 type fakeStore struct {
 	mu     sync.Mutex
 	object sharedstate.Object
-	// down refuses every call; deaf lets a write take effect and goes down.
-	down, deaf bool
+	// down makes every call fail. losesReplies applies the next write, reports
+	// its outcome as unknown and sets down.
+	down, losesReplies bool
 }
 
 func (s *fakeStore) Get(context.Context, string) (sharedstate.Object, error) {
@@ -48,7 +49,7 @@
 		return 0, sharedstate.ErrConflict
 	}
 	s.object = sharedstate.Object{Name: name, Version: version + 1, Value: value}
-	if s.deaf {
+	if s.losesReplies {
 		s.down = true
 		return 0, sharedstate.ErrUnknown
 	}
@@ -63,14 +64,14 @@
 func (s *fakeStore) set(down, deaf bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.down, s.deaf = down, deaf
+	s.down, s.losesReplies = down, deaf
 }
 
-// fakeFleet is what the entry under test knows.
+// fakeFleet is the view of the entry under test.
 type fakeFleet struct {
-	mu    sync.Mutex
-	held  sharedstate.Object
-	peers []operator.Peer
+	mu     sync.Mutex
+	config sharedstate.Object
+	peers  []operator.Peer
 }
 
 func (f *fakeFleet) Status(context.Context) (operator.Status, error) {
@@ -82,13 +83,13 @@
 func (f *fakeFleet) Config() sharedstate.Object {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.held
+	return f.config
 }
 
 func (f *fakeFleet) Accept(o sharedstate.Object) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.held = o
+	f.config = o
 }
 
 func post(url string, body any) (int, operator.EditResult) {
@@ -114,7 +115,7 @@
 	return status
 }
 
-func setCost(editID, author string, base uint64, cost float64) operator.EditRequest {
+func roleChangeCostEdit(editID, author string, base uint64, cost float64) operator.EditRequest {
 	return operator.EditRequest{
 		EditID: editID, Author: author, BaseVersion: base,
 		Changes: []fleetconfig.Change{{SetDefaults: &fleetconfig.Values{RoleChangeCost: &cost}}},
@@ -140,8 +141,8 @@
 		url = web.URL
 	})
 
-	It("put a value in force at once and note it", func() {
-		status, result := post(url, setCost("edit-0001", "kim", 0, 5))
+	It("take effect immediately and are recorded in the history", func() {
+		status, result := post(url, roleChangeCostEdit("edit-0001", "kim", 0, 5))
 		Expect(status).To(Equal(http.StatusOK))
 		Expect(result.Outcome).To(Equal(operator.EditApplied))
 		Expect(fleet.Config().Version).To(BeEquivalentTo(1))
@@ -153,11 +154,12 @@
 		Expect(view.Config.History[0].Author).To(Equal("kim"))
 	})
 
-	// Two operators read version 1 and set the same default. Without the
-	// version the second would undo the first and neither would know.
-	It("let one of two racing operators win and show the other both values", func() {
-		post(url, setCost("edit-0001", "kim", 0, 5))
-		requests := []operator.EditRequest{setCost("edit-0002", "lee", 1, 9), setCost("edit-0003", "kim", 1, 30)}
+	// Guards against a lost update: two operators edit the same default of
+	// version 1. Without the check of the version, the second edit would
+	// overwrite the first and neither operator would notice.
+	It("apply one of two concurrent edits and report both values for the other", func() {
+		post(url, roleChangeCostEdit("edit-0001", "kim", 0, 5))
+		requests := []operator.EditRequest{roleChangeCostEdit("edit-0002", "lee", 1, 9), roleChangeCostEdit("edit-0003", "kim", 1, 30)}
 		results := make([]operator.EditResult, len(requests))
 		var wg sync.WaitGroup
 		for i, r := range requests {
@@ -183,27 +185,27 @@
 		Expect(results[loser].Since[0].Author).To(Equal(requests[winner].Author))
 	})
 
-	// The store takes the edit, and then its reply and every later call are
-	// lost. An operator who is told "failed" repeats the edit on top of
-	// somebody else's.
-	It("say that the outcome is unknown, and find the edit when asked again", func() {
+	// Guards against reporting an edit as failed when the store applied it but
+	// the reply and all later calls were lost: the operator would repeat it and
+	// overwrite another operator's edit.
+	It("report an unknown outcome, and recognise the edit when it is repeated", func() {
 		store.set(false, true)
-		status, result := post(url, setCost("edit-0001", "kim", 0, 5))
+		status, result := post(url, roleChangeCostEdit("edit-0001", "kim", 0, 5))
 		Expect(status).To(Equal(http.StatusGatewayTimeout))
 		Expect(result.Outcome).To(Equal(operator.EditUnknown))
 		Expect(result.Message).To(ContainSubstring("edit-0001"))
 		store.set(false, false)
-		_, result = post(url, setCost("edit-0001", "kim", 0, 5))
+		_, result = post(url, roleChangeCostEdit("edit-0001", "kim", 0, 5))
 		Expect(result.Outcome).To(Equal(operator.EditApplied))
 		Expect(result.Version).To(BeEquivalentTo(1))
 	})
 
-	// The store is down for an hour. The last configuration stays in force and
-	// can be read; an edit fails at once and says that nothing was changed.
-	It("fail clearly while the store is down", func() {
-		post(url, setCost("edit-0001", "kim", 0, 5))
+	// During a long outage of the store the last configuration stays active and
+	// readable. An edit fails immediately and reports that nothing was changed.
+	It("fail while the store is down and report that nothing was changed", func() {
+		post(url, roleChangeCostEdit("edit-0001", "kim", 0, 5))
 		store.set(true, false)
-		status, result := post(url, setCost("edit-0002", "kim", 1, 9))
+		status, result := post(url, roleChangeCostEdit("edit-0002", "kim", 1, 9))
 		Expect(status).To(Equal(http.StatusServiceUnavailable))
 		Expect(result.Outcome).To(Equal(operator.EditStoreUnavailable))
 		Expect(result.Message).To(ContainSubstring("nothing was changed"))
@@ -213,8 +215,8 @@
 		Expect(view.Version).To(BeEquivalentTo(1))
 	})
 
-	It("refuse what is not allowed and say why", func() {
-		status, result := post(url, setCost("edit-0001", "kim", 0, -1))
+	It("are rejected with a reason when they are invalid", func() {
+		status, result := post(url, roleChangeCostEdit("edit-0001", "kim", 0, -1))
 		Expect(status).To(Equal(http.StatusUnprocessableEntity))
 		Expect(result.Outcome).To(Equal(operator.EditRejected))
 		Expect(result.Message).To(ContainSubstring("role_change_cost is -1, expected 0 to 3600"))
@@ -222,7 +224,7 @@
 		Expect(status).To(Equal(http.StatusUnprocessableEntity))
 	})
 
-	It("warn about a backend server that the fleet does not have", func() {
+	It("warn about a backend server that is not in the VM list", func() {
 		drain := func(id string, base uint64, name string) operator.EditRequest {
 			return operator.EditRequest{EditID: id, Author: "kim", BaseVersion: base, Changes: []fleetconfig.Change{
 				{Drain: &fleetconfig.Drain{BackendServer: name, Reason: "new disk"}},
@@ -236,10 +238,11 @@
 	})
 })
 
-var _ = Describe("Questions to other processes", func() {
-	// One process is gone and another hangs on to its connection. The rest of
-	// the answer must still come, and say who is missing.
-	It("merge the answers of those that answer and name the others", func() {
+var _ = Describe("Queries to other processes", func() {
+	// Guards against failing a query of the whole fleet when some processes do
+	// not answer: one responds with an error, another refuses connections. The
+	// response must contain the other records and name the missing processes.
+	It("merge the responses and list the processes that did not answer", func() {
 		log := explain.New(8)
 		log.Add(time.Unix(2, 0), "r1", "started", "a slot was free")
 		sidecar := serve(operator.Sources{Process: "m1", Explain: log, Duties: map[string]operator.DumpFunc{
@@ -276,7 +279,7 @@
 })
 
 var _ = Describe("A sidecar", func() {
-	It("serves no part of the fleet's API", func() {
+	It("does not serve the operations of an entry", func() {
 		url := serve(operator.Sources{Ready: func() error { return errors.New("starting") }})
 		status, _ := get(url+"/fleet/config", testToken)
 		Expect(status).To(Equal(http.StatusNotFound))
--- a/internal/operator/metrics.go
+++ b/internal/operator/metrics.go
@@ -10,10 +10,10 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// metricsContentType is that of the Prometheus text exposition format.
+// metricsContentType is the content type of the Prometheus text format.
 const metricsContentType = "text/plain; version=0.0.4; charset=utf-8"
 
-// metricPrefix sets the project's metrics apart from those of other programs.
+// metricPrefix distinguishes the project's metrics from those of other programs.
 const metricPrefix = "pistachioroad_"
 
 const secondsPerNanosecond = 1e-9
@@ -21,8 +21,8 @@
 var quantiles = []float64{0.5, 0.95, 0.99}
 
 // writeMetrics writes the registry in the Prometheus text format, sorted by
-// name. go-metrics itself writes only formats that push to a collector or that
-// common scrapers do not read.
+// name. go-metrics itself supports only formats that are pushed to a collector
+// or that common scrapers do not read.
 func writeMetrics(w io.Writer, registry metrics.Registry) {
 	all := map[string]any{}
 	registry.Each(func(name string, metric any) { all[name] = metric })
@@ -50,7 +50,7 @@
 		s := m.Snapshot()
 		writeSummary(w, name, 1, s.Percentiles(quantiles), s.Sum(), s.Count())
 	case metrics.Timer:
-		// go-metrics keeps nanoseconds; the format's unit of time is seconds.
+		// go-metrics records nanoseconds; Prometheus uses seconds.
 		s := m.Snapshot()
 		writeSummary(w, name+"_seconds", secondsPerNanosecond, s.Percentiles(quantiles), s.Sum(), s.Count())
 	}
@@ -60,7 +60,8 @@
 	fmt.Fprintf(w, "# TYPE %s %s\n%s %v\n", name, kind, name, value)
 }
 
-// writeSummary writes values and their sum in units of unit.
+// writeSummary writes the quantiles, sum and count of a summary. The values and
+// their sum are multiplied by unit.
 func writeSummary(w io.Writer, name string, unit float64, values []float64, sum, count int64) {
 	fmt.Fprintf(w, "# TYPE %s summary\n", name)
 	for i, q := range quantiles {
@@ -69,7 +70,8 @@
 	fmt.Fprintf(w, "%s_sum %v\n%s_count %d\n", name, float64(sum)*unit, name, count)
 }
 
-// metricName maps the characters that the format does not allow in a name.
+// metricName adds the prefix and replaces characters that Prometheus does not
+// allow in a metric name.
 func metricName(name string) string {
 	return metricPrefix + strings.Map(func(r rune) rune {
 		switch {
@@ -81,7 +83,7 @@
 	}, name)
 }
 
-// ServeMetrics answers with all metrics of the process.
+// ServeMetrics is an HTTP handler that returns all metrics of the process.
 func ServeMetrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", metricsContentType)
 	writeMetrics(w, metrics.DefaultRegistry)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -33,7 +33,7 @@
 	return path
 }
 
-// serve runs the API of one process and returns its URL.
+// serve starts the API of one process and returns its URL.
 func serve(sources operator.Sources) string {
 	server, err := operator.NewServer(operator.Config{TokenFile: tokenFile()}, sources)
 	Expect(err).NotTo(HaveOccurred())
@@ -57,9 +57,10 @@
 }
 
 var _ = Describe("The token", func() {
-	// Somebody who reaches the operators' address without the token could
-	// drain the fleet. Health and readiness stay open for the balancer.
-	It("is asked for everything but health and readiness", func() {
+	// Guards against unauthenticated access to the operator address, which
+	// could drain the fleet. The balancer requests health and readiness without
+	// a token.
+	It("is required for everything except health and readiness", func() {
 		url := serve(operator.Sources{})
 		for _, path := range []string{"/dump", "/metrics", "/explain", "/openapi.json", "/nothing"} {
 			for _, token := range []string{"", "wrong", testToken + "x"} {
@@ -73,7 +74,7 @@
 		}
 	})
 
-	It("must be there and long enough", func() {
+	It("must exist and have the minimum length", func() {
 		_, err := operator.NewServer(operator.Config{TokenFile: "/does/not/exist"}, operator.Sources{})
 		Expect(err).To(MatchError(ContainSubstring("read operator token")))
 		path := filepath.Join(GinkgoT().TempDir(), "short")
@@ -84,7 +85,7 @@
 })
 
 var _ = Describe("Readiness", func() {
-	It("says why the process takes no requests", func() {
+	It("reports why the process accepts no requests", func() {
 		url := serve(operator.Sources{Ready: func() error { return errors.New("draining") }})
 		status, body := get(url+"/readyz", "")
 		Expect(status).To(Equal(http.StatusServiceUnavailable))
@@ -93,9 +94,9 @@
 })
 
 var _ = Describe("The dump", func() {
-	// A duty hangs on a lock or a dead connection. A dump that waits for it
-	// tells the operator nothing just when the dump is needed.
-	It("shows a stuck duty and the state of all others", func() {
+	// Guards against a dump that blocks on a duty that waits for a lock or a
+	// dead connection, which is when the dump is needed.
+	It("reports a stuck duty and the states of all others", func() {
 		release := make(chan struct{})
 		DeferCleanup(func() { close(release) })
 		url := serve(operator.Sources{Process: "gangnam-entry-1", Duties: map[string]operator.DumpFunc{
@@ -116,7 +117,7 @@
 })
 
 var _ = Describe("Metrics", func() {
-	It("come in the Prometheus text format", func() {
+	It("are served in the Prometheus text format", func() {
 		registry := metrics.NewRegistry()
 		metrics.GetOrRegisterCounter("ring.router.dropped", registry).Inc(2)
 		metrics.GetOrRegisterHistogram("wait", registry, metrics.NewUniformSample(16)).Update(5)
@@ -145,7 +146,7 @@
 })
 
 var _ = Describe("Serve", func() {
-	It("listens until its context ends", func() {
+	It("serves until its context is cancelled", func() {
 		server, err := operator.NewServer(
 			operator.Config{Address: "127.0.0.1:0", TokenFile: tokenFile()}, operator.Sources{})
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/operator/peers.go
+++ b/internal/operator/peers.go
@@ -18,18 +18,19 @@
 	"pistachioroad.dev/pistachioroad/internal/explain"
 )
 
-// The limits of asking other processes.
+// Limits of requests to other processes.
 const (
 	peerTimeout = 5 * time.Second
-	// peersAtOnce bounds the connections of one question to the whole fleet.
-	peersAtOnce   = 32
-	maxDumpBytes  = 4 << 20
-	maxExplainLog = 1 << 20
-	// maxMerged bounds the records of a merged answer; the newest stay.
-	maxMerged = 2000
+	// maxConcurrentPeers bounds the connections of one query to the whole fleet.
+	maxConcurrentPeers = 32
+	maxDumpBytes       = 4 << 20
+	maxExplainBytes    = 1 << 20
+	// maxMergedRecords bounds the records of a merged response; the oldest are
+	// dropped.
+	maxMergedRecords = 2000
 )
 
-// FleetRecord is a decision and the process that took it.
+// FleetRecord is a decision and the process that made it.
 type FleetRecord struct {
 	Process string `json:"process"`
 	explain.Record
@@ -41,37 +42,38 @@
 	Error   string `json:"error"`
 }
 
-// FleetExplanation is what all processes decided about a subject.
+// FleetExplanation lists the decisions of all processes about a subject.
 type FleetExplanation struct {
 	Subject string `json:"subject"`
-	// Records are ordered by the clocks of their processes, which differ a
-	// little between VMs.
+	// Records are ordered by their timestamps, which come from the clocks of
+	// different VMs and may be slightly out of order.
 	Records []FleetRecord `json:"records"`
-	// Asked counts the processes asked, this one included.
+	// Asked is the number of processes queried, including this one.
 	Asked  int          `json:"asked"`
 	Silent []SilentPeer `json:"silent"`
 }
 
-// peerClient asks operator APIs of other processes with the same token.
+// peerClient calls the operator APIs of other processes with the same token.
 type peerClient struct {
 	http  *http.Client
 	token string
 }
 
 func newPeerClient(token string) *peerClient {
-	transport := &http.Transport{MaxIdleConns: peersAtOnce, IdleConnTimeout: idleTimeout}
+	transport := &http.Transport{MaxIdleConns: maxConcurrentPeers, IdleConnTimeout: idleTimeout}
 	return &peerClient{
 		http: &http.Client{
 			Transport: transport,
 			Timeout:   peerTimeout,
-			// A redirect would carry the token to another address.
+			// Following a redirect would send the token to another address.
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
 		token: token,
 	}
 }
 
-// get reads at most limit bytes of JSON into answer.
+// get requests path from p and decodes the JSON body into answer. A body larger
+// than limit bytes is an error.
 func (c *peerClient) get(ctx context.Context, p Peer, path string, limit int64, answer any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Address+path, nil)
 	if err != nil {
@@ -131,29 +133,30 @@
 		return nil, huma.Error503ServiceUnavailable("the VM list is not available", err)
 	}
 	peers = lo.Filter(peers, func(p Peer, _ int) bool { return p.Name != s.sources.Process })
-	answers := s.askAll(ctx, peers, in.Subject)
-	merged := merge(in.Subject, append(answers, peerAnswer{explanation: s.explanation(in.Subject)}))
+	answers := s.explainPeers(ctx, peers, in.Subject)
+	merged := mergeExplanations(in.Subject, append(answers, peerResponse{explanation: s.explanation(in.Subject)}))
 	return &explainFleetOutput{Body: merged}, nil
 }
 
-type peerAnswer struct {
+type peerResponse struct {
 	peer        Peer
 	explanation Explanation
 	err         error
 }
 
-// askAll returns one answer for each peer, within peerTimeout for all.
-func (s *Server) askAll(ctx context.Context, peers []Peer, subject string) []peerAnswer {
+// explainPeers queries all peers concurrently and returns one response for each.
+// peerTimeout applies to all queries together.
+func (s *Server) explainPeers(ctx context.Context, peers []Peer, subject string) []peerResponse {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	path := "/explain?subject=" + url.QueryEscape(subject)
-	answers := make([]peerAnswer, len(peers))
+	answers := make([]peerResponse, len(peers))
 	var group errgroup.Group
-	group.SetLimit(peersAtOnce)
+	group.SetLimit(maxConcurrentPeers)
 	for i, peer := range peers {
 		group.Go(func() error {
 			answers[i].peer = peer
-			answers[i].err = s.peers.get(ctx, peer, path, maxExplainLog, &answers[i].explanation)
+			answers[i].err = s.peers.get(ctx, peer, path, maxExplainBytes, &answers[i].explanation)
 			return nil
 		})
 	}
@@ -161,7 +164,7 @@
 	return answers
 }
 
-func merge(subject string, answers []peerAnswer) FleetExplanation {
+func mergeExplanations(subject string, answers []peerResponse) FleetExplanation {
 	merged := FleetExplanation{
 		Subject: subject,
 		Records: []FleetRecord{},
@@ -180,6 +183,6 @@
 	slices.SortStableFunc(merged.Records, func(a, b FleetRecord) int {
 		return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Process, b.Process))
 	})
-	merged.Records = merged.Records[max(0, len(merged.Records)-maxMerged):]
+	merged.Records = merged.Records[max(0, len(merged.Records)-maxMergedRecords):]
 	return merged
 }
--- a/internal/operator/process.go
+++ b/internal/operator/process.go
@@ -11,7 +11,7 @@
 	"pistachioroad.dev/pistachioroad/internal/explain"
 )
 
-// Explanation is what a process decided about a subject.
+// Explanation lists the decisions of a process about a subject.
 type Explanation struct {
 	Process string           `json:"process"`
 	Records []explain.Record `json:"records"`
@@ -33,7 +33,7 @@
 
 const plainText = "text/plain; charset=utf-8"
 
-// registerProcess adds what every process serves.
+// registerProcess registers the operations that every process serves.
 func (s *Server) registerProcess(api huma.API) {
 	huma.Get(api, pathHealth, s.health, summary("Liveness; needs no token"))
 	huma.Get(api, pathReady, s.ready, summary("Readiness; needs no token"))
--- a/internal/operator/random_test.go
+++ b/internal/operator/random_test.go
@@ -20,25 +20,26 @@
 	"pistachioroad.dev/pistachioroad/internal/sharedstate"
 )
 
-// faultyStore loses replies, writes late and is down for a while, by chance.
+// faultyStore randomly loses replies, delays writes and is unavailable for a
+// number of calls.
 type faultyStore struct {
 	random *rand.Rand
 	object sharedstate.Object
-	// late are writes that have been sent and not taken effect yet.
-	late []func()
-	// down is how many further calls are refused.
-	down int
+	// delayed are writes that were sent but have not taken effect yet.
+	delayed []func()
+	// downCalls is the number of further calls that fail.
+	downCalls int
 }
 
 func (s *faultyStore) Get(context.Context, string) (sharedstate.Object, error) {
-	if s.disturbed() {
+	if s.isDown() {
 		return sharedstate.Object{}, sharedstate.ErrUnavailable
 	}
 	return s.object, nil
 }
 
 func (s *faultyStore) Put(_ context.Context, name string, version uint64, value []byte) (uint64, error) {
-	if s.disturbed() {
+	if s.isDown() {
 		return 0, sharedstate.ErrNotSent
 	}
 	write := func() {
@@ -51,7 +52,7 @@
 		write()
 		return 0, sharedstate.ErrUnknown
 	case 1:
-		s.late = append(s.late, write)
+		s.delayed = append(s.delayed, write)
 		return 0, sharedstate.ErrUnknown
 	case 2:
 		return 0, sharedstate.ErrUnknown
@@ -67,28 +68,30 @@
 	return sharedstate.Object{}, sharedstate.ErrUnavailable
 }
 
-// disturbed lets late writes take effect and reports whether the store is down.
-func (s *faultyStore) disturbed() bool {
+// isDown randomly applies delayed writes and starts outages, and reports whether
+// the store is down for this call.
+func (s *faultyStore) isDown() bool {
 	if s.random.IntN(3) == 0 {
-		s.settle()
+		s.applyDelayed()
 	}
 	if s.random.IntN(24) == 0 {
-		s.down = s.random.IntN(12)
+		s.downCalls = s.random.IntN(12)
 	}
-	s.down = max(0, s.down-1)
-	return s.down > 0
+	s.downCalls = max(0, s.downCalls-1)
+	return s.downCalls > 0
 }
 
-func (s *faultyStore) settle() {
-	for _, write := range s.late {
+func (s *faultyStore) applyDelayed() {
+	for _, write := range s.delayed {
 		write()
 	}
-	s.late = nil
+	s.delayed = nil
 }
 
-// race lets operators edit on versions that they read some edits ago, and
-// returns how often each outcome was told.
-func race(seed uint64) map[operator.EditOutcome]int {
+// runEdits makes edits by several operators, some based on outdated versions,
+// checks each reported outcome against the final history and returns the number
+// of edits by outcome.
+func runEdits(seed uint64) map[operator.EditOutcome]int {
 	GinkgoHelper()
 	const edits, operators = 12, 3
 	random := rand.New(rand.NewPCG(seed, 0))
@@ -98,7 +101,7 @@
 		operator.Sources{Process: "e1", Fleet: &fakeFleet{}, Store: store})
 	Expect(err).NotTo(HaveOccurred())
 
-	told := map[string]operator.EditOutcome{}
+	reported := map[string]operator.EditOutcome{}
 	seen := make([]uint64, operators)
 	highest := uint64(0)
 	for i := range edits {
@@ -106,33 +109,33 @@
 		if random.IntN(3) > 0 {
 			seen[who] = store.object.Version
 		}
-		request := setCost(fmt.Sprintf("edit-%04d", i), fmt.Sprint("operator-", who), seen[who], float64(i))
-		told[request.EditID] = edit(server.Handler(), request).Outcome
+		request := roleChangeCostEdit(fmt.Sprintf("edit-%04d", i), fmt.Sprint("operator-", who), seen[who], float64(i))
+		reported[request.EditID] = edit(server.Handler(), request).Outcome
 		Expect(store.object.Version).To(BeNumerically(">=", highest))
 		highest = store.object.Version
 	}
-	store.settle()
+	store.applyDelayed()
 
 	config := fleetconfig.Config{}
 	if store.object.Version > 0 {
 		config, err = fleetconfig.Parse(store.object.Value)
 		Expect(err).NotTo(HaveOccurred())
 	}
-	for id, outcome := range told {
+	for id, outcome := range reported {
 		count := lo.CountBy(config.History, func(e fleetconfig.Edit) bool { return e.EditID == id })
 		switch outcome {
 		case operator.EditApplied:
-			Expect(count).To(Equal(1), "seed %d: %s was told applied", seed, id)
+			Expect(count).To(Equal(1), "seed %d: %s was reported applied", seed, id)
 		case operator.EditUnknown:
-			Expect(count).To(BeNumerically("<=", 1), "seed %d: %s was told unknown", seed, id)
+			Expect(count).To(BeNumerically("<=", 1), "seed %d: %s was reported unknown", seed, id)
 		default:
-			Expect(count).To(BeZero(), "seed %d: %s was told %s", seed, id, outcome)
+			Expect(count).To(BeZero(), "seed %d: %s was reported %s", seed, id, outcome)
 		}
 	}
-	return lo.CountValues(lo.Values(told))
+	return lo.CountValues(lo.Values(reported))
 }
 
-// edit posts without a network.
+// edit sends the request to the handler directly, without a network.
 func edit(handler http.Handler, r operator.EditRequest) operator.EditResult {
 	GinkgoHelper()
 	data, err := json.Marshal(r)
@@ -146,15 +149,15 @@
 	return result
 }
 
-var _ = Describe("Racing operators on a faulty store", func() {
-	// Replies are lost, writes take effect late, the store goes down part-way,
-	// and operators work on versions that are out of date. Whatever an
-	// operator was told about an edit must be true in the end.
-	It("are told nothing that is not so", func() {
+var _ = Describe("Concurrent edits on a faulty store", func() {
+	// Guards against reporting a wrong outcome of an edit when replies are lost,
+	// writes take effect late, the store goes down in between and operators edit
+	// outdated versions.
+	It("report outcomes that agree with the final history", func() {
 		invariant.PanicOnViolation()
 		outcomes := map[operator.EditOutcome]int{}
 		for seed := range uint64(60) {
-			for outcome, count := range race(seed) {
+			for outcome, count := range runEdits(seed) {
 				outcomes[outcome] += count
 			}
 		}
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -1,6 +1,6 @@
-// Package operator serves the operator API of a process: health, metrics, the
-// dump of its state and its decisions; on an entry also the fleet's
-// configuration and status.
+// Package operator implements the operator API of a process: health, readiness,
+// metrics, a dump of its state and a log of its decisions. An entry also serves
+// the configuration and status of the fleet.
 package operator
 
 import (
@@ -21,7 +21,7 @@
 	"pistachioroad.dev/pistachioroad/internal/sharedstate"
 )
 
-// The limits of the operator API. It has a few users, so they are tight.
+// Limits of the operator API. They are tight because it has few users.
 const (
 	headerTimeout   = 5 * time.Second
 	requestTimeout  = 30 * time.Second
@@ -33,37 +33,39 @@
 	defaultEditTimeout = 10 * time.Second
 )
 
-// Config says where the API listens and which token it asks for.
+// Config configures the listener and authentication of the API.
 type Config struct {
-	// Address is an IP number and a port that callers cannot reach.
+	// Address is the IP:PORT to listen on. Callers must not be able to reach it.
 	Address string
-	// TokenFile holds the bearer token, at least 16 characters.
+	// TokenFile is the path of the file with the bearer token, which must have
+	// at least 16 characters.
 	TokenFile string
-	// EditTimeout is how long an edit of unknown outcome is followed; 0: 10 s,
-	// which is longer than a short disturbance of the store and shorter than
-	// an operator's patience.
+	// EditTimeout bounds the time to apply an edit, including the time to
+	// resolve an unknown outcome. 0 means 10 s: longer than a brief outage of
+	// the store, but acceptable for an operator who waits.
 	EditTimeout time.Duration
 }
 
-// Sources are what the API shows. Every function may be called from any
-// goroutine and must return a copy, never state that a duty goes on changing.
+// Sources provide the data that the API serves. Every function may be called
+// from any goroutine and must return a copy, not state that a duty modifies.
 type Sources struct {
 	// Process is the name of the process.
 	Process string
-	// Ready returns why the process takes no requests, nil if it does.
+	// Ready returns nil if the process accepts requests, otherwise the reason
+	// why not. A nil Ready means always ready.
 	Ready func() error
-	// Metrics is what /metrics shows; nil: metrics.DefaultRegistry.
+	// Metrics is the registry for /metrics; nil means metrics.DefaultRegistry.
 	Metrics metrics.Registry
-	// Duties returns the state of each duty, by its name.
+	// Duties maps the name of each duty to the function that returns its state.
 	Duties map[string]DumpFunc
-	// Explain is the process's log of decisions.
+	// Explain is the log of decisions of the process; it may be nil.
 	Explain *explain.Log
-	// Fleet and Store belong to an entry; nil on a sidecar.
+	// Fleet and Store are set on an entry and nil on a sidecar.
 	Fleet Fleet
 	Store sharedstate.Store
 }
 
-// Server is the operator API as a suture service.
+// Server serves the operator API. It is a suture service.
 type Server struct {
 	config  Config
 	token   string
@@ -73,7 +75,7 @@
 	handler http.Handler
 }
 
-// NewServer reads the token and builds the API. It does not listen yet.
+// NewServer reads the token and builds the API. It does not start to listen.
 func NewServer(config Config, sources Sources) (*Server, error) {
 	token, err := ReadToken(config.TokenFile)
 	if err != nil {
@@ -99,7 +101,7 @@
 	return s, nil
 }
 
-// ReadToken reads the operator token from a file.
+// ReadToken reads the operator token from a file and checks its length.
 func ReadToken(path string) (string, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -113,17 +115,17 @@
 	return token, nil
 }
 
-// String names the service in the supervisor's log.
+// String returns the name of the service in the supervisor's log.
 func (s *Server) String() string { return "operator" }
 
-// Handler returns the API with its check of the token.
+// Handler returns the handler of the API, including authentication.
 func (s *Server) Handler() http.Handler { return s.handler }
 
-// Serve listens until ctx ends.
+// Serve serves the API until ctx is done.
 func (s *Server) Serve(ctx context.Context) error {
 	listener, err := net.Listen("tcp", s.config.Address)
 	if err != nil {
-		return eris.Wrap(err, "listen for operators")
+		return eris.Wrap(err, "listen on the operator address")
 	}
 	server := &http.Server{
 		Handler:           s.handler,
@@ -136,7 +138,7 @@
 	done := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
 		defer close(done)
-		shutDown(server)
+		shutDownServer(server)
 	})
 	defer stop()
 	err = server.Serve(listener)
@@ -144,12 +146,13 @@
 		<-done
 		return ctx.Err()
 	}
-	return eris.Wrap(err, "serve operators")
+	return eris.Wrap(err, "serve the operator API")
 }
 
-// shutDown lets a running dump finish, for it is often the last that an
-// operator sees of a process.
-func shutDown(server *http.Server) {
+// shutDownServer shuts the server down and lets requests in flight finish within
+// shutdownTimeout: a dump taken then is often the last information that an
+// operator gets about the process.
+func shutDownServer(server *http.Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if server.Shutdown(ctx) != nil {
@@ -160,8 +163,8 @@
 func (s *Server) routes() http.Handler {
 	mux := http.NewServeMux()
 	config := huma.DefaultConfig("pistachioroad operator API", "1")
-	// The documentation page loads its scripts from the internet, which the
-	// VMs do not reach; the schema itself stays at /openapi.json.
+	// The documentation page loads scripts from the internet, which the VMs
+	// cannot reach. The schema is still served at /openapi.json.
 	config.DocsPath = ""
 	config.SchemasPath = ""
 	config.CreateHooks = nil
--- a/internal/operator/token.go
+++ b/internal/operator/token.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// The paths that need no token: balancers and supervisors ask them.
+// Paths that need no token, because balancers and supervisors request them.
 const (
 	pathHealth = "/healthz"
 	pathReady  = "/readyz"
@@ -15,9 +15,9 @@
 
 const bearerPrefix = "Bearer "
 
-// requireToken refuses requests without the token, but for health and
-// readiness. Both sides are hashed before they are compared, so that the time
-// taken tells neither the token's text nor its length.
+// requireToken rejects requests without the token, except for health and
+// readiness. Both tokens are hashed before the comparison, so that its duration
+// reveals neither the content nor the length of the token.
 func requireToken(token string, next http.Handler) http.Handler {
 	want := sha256.Sum256([]byte(token))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,5 +1,5 @@
-// Package pause waits between attempts: for a time that may be cut short, and
-// for longer after each failure.
+// Package pause provides interruptible sleeps and an exponential backoff with
+// jitter for retries.
 package pause
 
 import (
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// For waits for d and reports whether ctx still holds.
+// Sleep sleeps for d. It returns false if ctx is done earlier, otherwise true.
 func Sleep(ctx context.Context, d time.Duration) bool { return SleepOrSignal(ctx, d, nil) }
 
-// Until waits for d, or less if a signal comes, and reports whether ctx still holds.
+// SleepOrSignal is like Sleep but also returns, with true, when signal is received.
 func SleepOrSignal(ctx context.Context, d time.Duration, signal <-chan struct{}) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -25,9 +25,9 @@
 	}
 }
 
-// Backoff gives the pauses between attempts: each twice the one before, up to
-// a bound, and each shortened by a random part, so that processes that failed
-// together do not come back together.
+// Backoff computes exponentially increasing delays from Initial up to Max. Each
+// delay is reduced by random jitter, so that processes that failed at the same
+// time do not all retry at the same time.
 type Backoff struct {
 	Initial time.Duration
 	Max     time.Duration
@@ -35,7 +35,7 @@
 	attempt int
 }
 
-// Next returns the next pause, between half and all of its full length.
+// Next returns the next delay, between half and all of its full length.
 func (b *Backoff) Next(random *rand.Rand) time.Duration {
 	full := b.Max
 	if shifted := b.Initial << b.attempt; shifted > 0 && shifted < b.Max {
@@ -45,5 +45,5 @@
 	return full/2 + time.Duration(random.Int64N(int64(full/2)+1))
 }
 
-// Reset begins again with the first pause.
+// Reset makes Next start again with the first delay.
 func (b *Backoff) Reset() { b.attempt = 0 }
--- a/internal/periodic/periodic.go
+++ b/internal/periodic/periodic.go
@@ -1,4 +1,4 @@
-// Package periodic runs a step again and again.
+// Package periodic calls a function at a fixed interval.
 package periodic
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Run calls step every period until ctx ends, and returns its error.
+// Run calls step every period until ctx is done, and returns the error of ctx.
 func Run(ctx context.Context, period time.Duration, step func(now time.Time)) error {
 	tick := time.NewTicker(period)
 	defer tick.Stop()
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -11,14 +11,13 @@
 	"github.com/samber/lo"
 )
 
-// serviceModels is the service name of the model engines.
+// serviceModels is the reserved service name of the model engines.
 const serviceModels = "models"
 
-// The lengths of the longest names: that of a VM, data centre or service, and
-// that of a model.
+// Maximum length of the name of a VM, data centre or service, and of a model.
 const (
-	maxName      = 63
-	maxModelName = 128
+	maxNameLength      = 63
+	maxModelNameLength = 128
 )
 
 var (
@@ -31,31 +30,31 @@
 	classes = []string{"interactive", "normal", "batch"}
 )
 
-// The ranges of numbers. The upper ends keep a slip of the pen, such as a body
-// limit in the wrong unit, from taking a VM's whole memory.
+// Limits of numeric settings. The upper limits prevent a mistake, such as a body
+// limit in the wrong unit, from using up all memory of a VM.
 const (
-	maxBody        = 64 << 20
-	maxHeader      = 1 << 20
-	maxConnections = 100_000
-	maxInFlight    = 100_000
-	maxQueue       = 100_000
-	maxResults     = 256 << 20
-	maxSlots       = 4096
-	maxKeySlots    = 1024
-	maxLinks       = 10_000
-	// maxCalls is the read rate that the platform gives to the whole fleet.
-	maxCalls = 2000
-	minCalls = 0.1
+	maxBodyBytes    = 64 << 20
+	maxHeaderBytes  = 1 << 20
+	maxConnections  = 100_000
+	maxInFlight     = 100_000
+	maxQueueLength  = 100_000
+	maxResultBytes  = 256 << 20
+	maxSlots        = 4096
+	maxServiceSlots = 1024
+	maxLinks        = 10_000
+	// maxCallsPerSecond is the read rate that the platform allows the whole fleet.
+	maxCallsPerSecond = 2000
+	minCallsPerSecond = 0.1
 )
 
-// check records what is wrong with s beyond its form.
+// check reports invalid values in s, which has been decoded already.
 func check(s Settings, r *reader) {
 	checkProcess(s.Process, r)
 	r.oneOf("log.format", s.Log.Format, formats)
 	r.oneOf("log.level", s.Log.Level, levels)
 	checkListen(s, r)
-	r.remote("platform.address", s.Platform.Address)
-	inRange(r, "platform.calls_per_second", s.Platform.CallsPerSecond, minCalls, maxCalls)
+	r.dialAddress("platform.address", s.Platform.Address)
+	inRange(r, "platform.calls_per_second", s.Platform.CallsPerSecond, minCallsPerSecond, maxCallsPerSecond)
 	inRange(r, "platform.vm_list_interval", s.Platform.VMListInterval, 100*time.Millisecond, time.Minute)
 	checkSections(s, r)
 }
@@ -71,21 +70,21 @@
 func checkListen(s Settings, r *reader) {
 	if s.Process.Role == RoleSidecar {
 		if s.Listen.Callers != "" {
-			r.reject("listen.callers", quote(s.Listen.Callers), "no such key in a sidecar, which callers do not reach")
+			r.reject("listen.callers", quote(s.Listen.Callers), "no such key: a sidecar does not listen for callers")
 		}
 	} else {
-		r.local("listen.callers", s.Listen.Callers)
+		r.listenAddress("listen.callers", s.Listen.Callers)
 	}
-	r.local("listen.links", s.Listen.Links)
-	r.local("listen.operators", s.Listen.Operators)
+	r.listenAddress("listen.links", s.Listen.Links)
+	r.listenAddress("listen.operators", s.Listen.Operators)
 	if s.Listen.OperatorTokenFile == "" {
 		r.reject("listen.operator_token_file", foundNothing, "the path of the file with the operator token")
 	}
 	checkDistinct(s.Listen, r)
 }
 
-// checkDistinct finds two listeners on one address: the second would fail to
-// start, after the first has taken requests.
+// checkDistinct rejects two listeners with the same address: the second would
+// fail to start after the first has accepted requests.
 func checkDistinct(l Listen, r *reader) {
 	seen := map[string]string{}
 	for _, a := range []struct{ path, address string }{
@@ -93,13 +92,14 @@
 	} {
 		other, taken := seen[a.address]
 		if taken && a.address != "" {
-			r.reject(a.path, quote(a.address), "another address than that of "+other)
+			r.reject(a.path, quote(a.address), "an address other than that of "+other)
 		}
 		seen[a.address] = a.path
 	}
 }
 
-// checkSections holds the role against the sections entry and sidecar.
+// checkSections checks that the section of the role, entry or sidecar, exists
+// and the other one does not, and checks the values of both.
 func checkSections(s Settings, r *reader) {
 	if s.Process.Role == RoleEntry && s.Entry == nil {
 		r.reject("entry", foundNothing, "the section of a process whose role is entry")
@@ -108,10 +108,10 @@
 		r.reject("sidecar", foundNothing, "the section of a process whose role is sidecar")
 	}
 	if s.Process.Role == RoleEntry && s.Sidecar != nil {
-		r.reject("sidecar", "a section", "none, for the role is entry")
+		r.reject("sidecar", "a section", "none, because the role is entry")
 	}
 	if s.Process.Role == RoleSidecar && s.Entry != nil {
-		r.reject("entry", "a section", "none, for the role is sidecar")
+		r.reject("entry", "a section", "none, because the role is sidecar")
 	}
 	if s.Entry != nil {
 		checkEntry(*s.Entry, r)
@@ -127,11 +127,11 @@
 	}
 	for i, model := range e.Models {
 		path := fmt.Sprintf("entry.models[%d]", i)
-		if len(model) > maxModelName || !modelPattern.MatchString(model) {
-			r.reject(path, orNothing(model), "a model name without spaces, at most 128 characters")
+		if len(model) > maxModelNameLength || !modelPattern.MatchString(model) {
+			r.reject(path, quoteOrNothing(model), "a model name without spaces, at most 128 characters")
 		}
 		if slices.Index(e.Models, model) < i {
-			r.reject(path, quote(model), "each model once")
+			r.reject(path, quote(model), "each model only once")
 		}
 	}
 	names := lo.Keys(e.Services)
@@ -149,21 +149,21 @@
 	path := join("entry.services", name)
 	r.name(path, name)
 	if name == serviceModels {
-		r.reject(path, quote(name), "another name, for this one means the model engines")
+		r.reject(path, quote(name), "another name: this one is reserved for the model engines")
 	}
 	inRange(r, path+".deadline", service.Deadline, 0, time.Hour)
 	if service.Class != "" {
 		r.oneOf(path+".class", service.Class, classes)
 	}
-	inRange(r, path+".slots", service.Slots, 0, maxKeySlots)
+	inRange(r, path+".slots", service.Slots, 0, maxServiceSlots)
 	if service.KeyRequired && service.Slots == 0 {
-		r.reject(path+".slots", "0", "at least 1, for key_required is true")
+		r.reject(path+".slots", "0", "at least 1, because key_required is true")
 	}
 }
 
 func checkLimits(l Limits, r *reader) {
-	inRange(r, "entry.limits.body_bytes", l.BodyBytes, 1, maxBody)
-	inRange(r, "entry.limits.header_bytes", l.HeaderBytes, 1<<10, maxHeader)
+	inRange(r, "entry.limits.body_bytes", l.BodyBytes, 1, maxBodyBytes)
+	inRange(r, "entry.limits.header_bytes", l.HeaderBytes, 1<<10, maxHeaderBytes)
 	inRange(r, "entry.limits.connections", l.Connections, 1, maxConnections)
 	inRange(r, "entry.limits.header_timeout", l.HeaderTimeout, 10*time.Millisecond, time.Minute)
 	inRange(r, "entry.limits.body_timeout", l.BodyTimeout, 10*time.Millisecond, 10*time.Minute)
@@ -174,44 +174,44 @@
 
 func checkSidecar(c Sidecar, r *reader) {
 	r.name("sidecar.backend_server.service", c.BackendServer.Service)
-	r.remote("sidecar.backend_server.address", c.BackendServer.Address)
+	r.dialAddress("sidecar.backend_server.address", c.BackendServer.Address)
 	inRange(r, "sidecar.backend_server.slots", c.BackendServer.Slots, 1, maxSlots)
 	inRange(r, "sidecar.backend_server.order_timeout", c.BackendServer.OrderTimeout, 100*time.Millisecond, 10*time.Minute)
-	inRange(r, "sidecar.queue_length", c.QueueLength, 1, maxQueue)
-	inRange(r, "sidecar.result_bytes", c.ResultBytes, 1<<10, maxResults)
+	inRange(r, "sidecar.queue_length", c.QueueLength, 1, maxQueueLength)
+	inRange(r, "sidecar.result_bytes", c.ResultBytes, 1<<10, maxResultBytes)
 	inRange(r, "sidecar.resume_wait", c.ResumeWait, 0, time.Minute)
 	inRange(r, "sidecar.shutdown_timeout", c.ShutdownTimeout, time.Second, time.Hour)
 }
 
 func (r *reader) name(path, name string) {
-	if len(name) > maxName || !namePattern.MatchString(name) {
-		r.reject(path, orNothing(name), "a name of a-z, 0-9, '-', '_' and '.', at most 63 characters")
+	if len(name) > maxNameLength || !namePattern.MatchString(name) {
+		r.reject(path, quoteOrNothing(name), "a name of a-z, 0-9, '-', '_' and '.', at most 63 characters")
 	}
 }
 
 func (r *reader) oneOf(path, value string, allowed []string) {
 	if !slices.Contains(allowed, value) {
-		r.reject(path, orNothing(value), fmt.Sprintf("one of %v", allowed))
+		r.reject(path, quoteOrNothing(value), fmt.Sprintf("one of %v", allowed))
 	}
 }
 
-// local checks an address to listen on.
-func (r *reader) local(path, address string) {
+// listenAddress checks an address to listen on.
+func (r *reader) listenAddress(path, address string) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil || parsed.Port() == 0 {
-		r.reject(path, orNothing(address), "an IP number and a port, such as 10.1.0.5:8080")
+		r.reject(path, quoteOrNothing(address), "an IP number and a port, such as 10.1.0.5:8080")
 	}
 }
 
-// remote checks an address to connect to.
-func (r *reader) remote(path, address string) {
+// dialAddress checks an address to connect to.
+func (r *reader) dialAddress(path, address string) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil || parsed.Port() == 0 || parsed.Addr().IsUnspecified() {
-		r.reject(path, orNothing(address), "an IP number and a port to connect to, such as 10.1.0.5:8080")
+		r.reject(path, quoteOrNothing(address), "an IP number and a port to connect to, such as 10.1.0.5:8080")
 	}
 }
 
-func orNothing(value string) string {
+func quoteOrNothing(value string) string {
 	if value == "" {
 		return foundNothing
 	}
--- a/internal/settings/problem.go
+++ b/internal/settings/problem.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Problem is one thing that is wrong with a settings file.
+// Problem is one error in a settings file.
 type Problem struct {
 	File string
 	Line int
@@ -24,8 +24,7 @@
 	return text + "found " + p.Found + ", expected " + p.Expected
 }
 
-// Problems are all things that are wrong with a settings file, in the order of
-// its lines.
+// Problems is the list of all errors in a settings file, sorted by line.
 type Problems []Problem
 
 // Error returns one line for each problem.
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -15,8 +15,8 @@
 	"github.com/samber/lo"
 )
 
-// maxFound is how many characters of a wrong value a Problem repeats.
-const maxFound = 60
+// maxQuotedBytes bounds how much of an invalid value a Problem quotes.
+const maxQuotedBytes = 60
 
 const (
 	foundNothing = "nothing"
@@ -24,22 +24,22 @@
 	foundList    = "a list"
 )
 
-// reader fills settings from YAML and collects what is wrong. The library's
-// own strict mode stops at the first error; an operator who mends a file on a
-// VM that is down would then learn of the errors one start at a time.
+// reader decodes settings from YAML and collects all problems. The strict mode
+// of the YAML library stops at the first error; an operator who fixes a file on
+// a VM that is down would then need one start of the process for each error.
 type reader struct {
 	file     string
 	problems Problems
-	// lines has the line of each key, by its path.
+	// lines maps the path of each key to its line.
 	lines map[string]int
-	// wrong has the keys that have a problem already.
-	wrong map[string]bool
-	// whole says that the file could be read as YAML at all.
-	whole bool
+	// invalid has the paths of keys for which a problem was recorded already.
+	invalid map[string]bool
+	// parsed reports whether the file is a single valid YAML document.
+	parsed bool
 }
 
 func newReader(file string) *reader {
-	return &reader{file: file, lines: map[string]int{}, wrong: map[string]bool{}}
+	return &reader{file: file, lines: map[string]int{}, invalid: map[string]bool{}}
 }
 
 func (r *reader) read(data []byte, s *Settings) {
@@ -53,7 +53,7 @@
 		r.add("", 1, fmt.Sprintf("%d YAML documents", len(documents)), "one")
 		return
 	}
-	r.whole = true
+	r.parsed = true
 	r.value(documents[0].Body, "", reflect.ValueOf(s).Elem())
 }
 
@@ -69,7 +69,7 @@
 	r.add("", line, message, "valid YAML with each key once")
 }
 
-// value reads node into target, which is a field of Settings.
+// value decodes node into target, which is a field of Settings.
 func (r *reader) value(node ast.Node, path string, target reflect.Value) {
 	switch target.Kind() {
 	case reflect.Pointer:
@@ -85,7 +85,7 @@
 	}
 }
 
-// section reads a section that may be left out, which null does too.
+// section decodes an optional section. A section that is null counts as left out.
 func (r *reader) section(node ast.Node, path string, target reflect.Value) {
 	if node.Type() == ast.NullType {
 		delete(r.lines, path)
@@ -106,11 +106,11 @@
 		if !known {
 			names := lo.Keys(fields)
 			slices.Sort(names)
-			r.record(path, line(entry.Key), fmt.Sprintf("unknown key %q", key), "one of "+strings.Join(names, ", "))
+			r.record(path, lineNumber(entry.Key), fmt.Sprintf("unknown key %q", key), "one of "+strings.Join(names, ", "))
 			continue
 		}
 		child := join(path, key)
-		r.lines[child] = line(entry.Key)
+		r.lines[child] = lineNumber(entry.Key)
 		r.value(entry.Value, child, field)
 	}
 }
@@ -124,7 +124,7 @@
 	for _, entry := range entries {
 		key := keyName(entry)
 		child := join(path, key)
-		r.lines[child] = line(entry.Key)
+		r.lines[child] = lineNumber(entry.Key)
 		value := reflect.New(target.Type().Elem()).Elem()
 		r.value(entry.Value, child, value)
 		target.SetMapIndex(reflect.ValueOf(key), value)
@@ -137,21 +137,21 @@
 	}
 	sequence, ok := node.(*ast.SequenceNode)
 	if !ok {
-		r.add(path, line(node), found(node), foundList)
+		r.add(path, lineNumber(node), describeNode(node), foundList)
 		return
 	}
 	list := reflect.MakeSlice(target.Type(), len(sequence.Values), len(sequence.Values))
 	for i, item := range sequence.Values {
 		child := fmt.Sprintf("%s[%d]", path, i)
-		r.lines[child] = line(item)
+		r.lines[child] = lineNumber(item)
 		r.value(item, child, list.Index(i))
 	}
 	target.Set(list)
 }
 
-// scalar reads one value; 0 and an empty text leave the default in place. The
-// library's decoder would take a bare number for a duration, in nanoseconds,
-// and a number for a text.
+// scalar decodes one value; 0 and an empty string leave the default in place. It
+// checks the type of the node first, because the YAML library would accept a
+// number without a unit as a duration in nanoseconds, and a number as a string.
 func (r *reader) scalar(node ast.Node, path string, target reflect.Value) {
 	value := reflect.New(target.Type()).Elem()
 	r.scalarInto(node, path, value)
@@ -166,7 +166,7 @@
 		return
 	}
 	if !scalarFits(node, target.Kind()) || yaml.NodeToValue(node, target.Addr().Interface()) != nil {
-		r.add(path, line(node), found(node), expectedScalar(target.Kind()))
+		r.add(path, lineNumber(node), describeNode(node), expectedScalar(target.Kind()))
 	}
 }
 
@@ -179,7 +179,7 @@
 			return
 		}
 	}
-	r.add(path, line(node), found(node), "a duration with its unit, such as 500ms, 2s or 1m30s")
+	r.add(path, lineNumber(node), describeNode(node), "a duration with its unit, such as 500ms, 2s or 1m30s")
 }
 
 func scalarFits(node ast.Node, kind reflect.Kind) bool {
@@ -198,18 +198,17 @@
 func expectedScalar(kind reflect.Kind) string {
 	switch kind {
 	case reflect.String:
-		return "a text (in quotes if it looks like a number)"
+		return "a string (in quotes if it looks like a number)"
 	case reflect.Bool:
 		return "true or false"
 	case reflect.Float64:
 		return "a number"
 	default:
-		return "a whole number"
+		return "an integer"
 	}
 }
 
-// entries returns the keys and values of a mapping. A key without a value is
-// an empty mapping.
+// entries returns the keys and values of a mapping. Null is an empty mapping.
 func (r *reader) entries(node ast.Node, path string) ([]*ast.MappingValueNode, bool) {
 	switch n := node.(type) {
 	case *ast.MappingNode:
@@ -219,14 +218,14 @@
 	case *ast.NullNode:
 		return nil, true
 	default:
-		r.add(path, line(node), found(node), foundMapping)
+		r.add(path, lineNumber(node), describeNode(node), foundMapping)
 		return nil, false
 	}
 }
 
-// add records a problem that leaves the key at path without a value.
+// add records a problem and marks the key at path as invalid.
 func (r *reader) add(path string, line int, found, expected string) {
-	r.wrong[path] = true
+	r.invalid[path] = true
 	r.record(path, line, found, expected)
 }
 
@@ -236,19 +235,19 @@
 	})
 }
 
-// reject records that the value of the key at path is not accepted, unless
-// that key or one above it has no value because of an earlier problem.
+// reject records that the value of the key at path is not allowed, unless a
+// problem was recorded already for that key or one of its parents.
 func (r *reader) reject(path, found, expected string) {
 	for above := path; above != ""; above = parent(above) {
-		if r.wrong[above] {
+		if r.invalid[above] {
 			return
 		}
 	}
 	r.add(path, r.lineOf(path), found, expected)
 }
 
-// lineOf returns the line of the key at path, or of the nearest one above it
-// that the file has.
+// lineOf returns the line of the key at path, or of its nearest parent in the
+// file.
 func (r *reader) lineOf(path string) int {
 	for path != "" {
 		if line, ok := r.lines[path]; ok {
@@ -259,18 +258,18 @@
 	return 1
 }
 
-// has reports whether the file has the key at path.
+// has reports whether the key at path is set in the file.
 func (r *reader) has(path string) bool {
 	_, ok := r.lines[path]
 	return ok
 }
 
-func (r *reader) sorted() Problems {
+func (r *reader) sortedProblems() Problems {
 	slices.SortStableFunc(r.problems, func(a, b Problem) int { return cmp.Compare(a.Line, b.Line) })
 	return r.problems
 }
 
-// keyName returns the key of an entry, which may be written in quotes.
+// keyName returns the key of an entry without quotes.
 func keyName(entry *ast.MappingValueNode) string {
 	return strings.Trim(entry.Key.String(), `"'`)
 }
@@ -294,7 +293,7 @@
 	return path[:max(0, strings.LastIndexAny(path, ".["))]
 }
 
-func line(node ast.Node) int {
+func lineNumber(node ast.Node) int {
 	token := node.GetToken()
 	if token == nil || token.Position == nil {
 		return 1
@@ -302,7 +301,7 @@
 	return token.Position.Line
 }
 
-func found(node ast.Node) string {
+func describeNode(node ast.Node) string {
 	switch n := node.(type) {
 	case *ast.MappingNode, *ast.MappingValueNode:
 		return foundMapping
@@ -318,8 +317,8 @@
 }
 
 func quote(text string) string {
-	if len(text) > maxFound {
-		text = text[:maxFound] + "..."
+	if len(text) > maxQuotedBytes {
+		text = text[:maxQuotedBytes] + "..."
 	}
 	return fmt.Sprintf("%q", text)
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,8 +1,8 @@
-// Package settings reads the settings file of one process.
+// Package settings reads the settings file of a process.
 //
-// A file is checked as a whole: the error lists everything that is wrong with
-// it, each with its line, what was found and what was expected. A number or
-// duration of 0, an empty text and a key left out all mean the default.
+// The error for an invalid file lists all problems, each with its line, the
+// value found and the value expected. A number or duration of 0, an empty string
+// and a missing key all mean the default.
 package settings
 
 import (
@@ -12,35 +12,35 @@
 	"github.com/rotisserie/eris"
 )
 
-// The roles of a process.
+// Roles of a process.
 const (
 	RoleEntry   = "entry"
 	RoleSidecar = "sidecar"
 )
 
-// Settings is a whole settings file.
+// Settings is the content of a settings file.
 type Settings struct {
 	Process  Process  `yaml:"process"`
 	Log      Log      `yaml:"log"`
 	Listen   Listen   `yaml:"listen"`
 	Platform Platform `yaml:"platform"`
-	// Entry and Sidecar belong to the role of that name.
+	// Entry and Sidecar are each set only for a process of that role.
 	Entry   *Entry   `yaml:"entry"`
 	Sidecar *Sidecar `yaml:"sidecar"`
 }
 
-// Process says who the process is.
+// Process identifies the process and bounds its processors.
 type Process struct {
 	// Name is the name of the process's VM in the VM list.
 	Name       string `yaml:"name"`
 	Role       string `yaml:"role"`
 	Region     string `yaml:"region"`
 	DataCentre string `yaml:"data_centre"`
-	// Processors bounds the processors that the process uses at once.
+	// Processors is the number of processors that the process may use at a time.
 	Processors int `yaml:"processors"`
 }
 
-// Log says what is logged and how.
+// Log configures logging.
 type Log struct {
 	// Format is json or text.
 	Format string `yaml:"format"`
@@ -48,23 +48,24 @@
 	Level string `yaml:"level"`
 }
 
-// Listen has the addresses of the process, each an IP number and a port.
+// Listen has the addresses that the process listens on, each as IP:PORT.
 type Listen struct {
-	// Callers takes the callers' HTTP requests (entry).
+	// Callers accepts HTTP requests of callers (entry only).
 	Callers string `yaml:"callers"`
-	// Links takes the links of entries (sidecar) or of other entries (entry).
+	// Links accepts links from entries; on an entry, from other entries.
 	Links string `yaml:"links"`
-	// Operators takes the operator API (entry), health, metrics and the dump.
+	// Operators serves the operator API: health, metrics and the dump, on an
+	// entry also the operations on the fleet.
 	Operators string `yaml:"operators"`
-	// OperatorTokenFile holds the token that Operators asks for.
+	// OperatorTokenFile is the path of the file with the operator token.
 	OperatorTokenFile string `yaml:"operator_token_file"`
 }
 
-// Platform says how to reach the platform.
+// Platform configures access to the platform.
 type Platform struct {
-	// Address is an IP number and a port.
+	// Address is the platform's IP:PORT.
 	Address string `yaml:"address"`
-	// CallsPerSecond is this process's share of the store's rate.
+	// CallsPerSecond is this process's share of the store's rate limit.
 	CallsPerSecond float64 `yaml:"calls_per_second"`
 	// VMListInterval is how often the VM list is read.
 	VMListInterval time.Duration `yaml:"vm_list_interval"`
@@ -72,36 +73,36 @@
 
 // Entry holds the settings of an entry.
 type Entry struct {
-	// Models are the models in service.
+	// Models are the names of the models to serve.
 	Models []string `yaml:"models"`
-	// Services are the plain services by name.
+	// Services are the plain services, by name.
 	Services map[string]Service `yaml:"services"`
 	Limits   Limits             `yaml:"limits"`
-	// BalancerLag is how long the platform's balancer may still send new
-	// connections after readiness went false.
+	// BalancerLag is how long the platform's balancer may still open connections
+	// after the process has become not ready.
 	BalancerLag time.Duration `yaml:"balancer_lag"`
 	// ShutdownTimeout bounds the wait for requests in flight at shutdown.
 	ShutdownTimeout time.Duration `yaml:"shutdown_timeout"`
-	// Links is how many sidecars the entry keeps a link to; 0: all.
+	// Links is the number of sidecars that the entry links to; 0 means all.
 	Links int `yaml:"links"`
 }
 
-// Service is one plain service.
+// Service configures a plain service.
 type Service struct {
-	// Deadline is the time a call has when its caller names none; 0: that of
-	// the fleet configuration.
+	// Deadline applies to calls without a deadline of their own; 0 means the
+	// deadline of the fleet configuration.
 	Deadline time.Duration `yaml:"deadline"`
-	// Class is interactive, normal or batch; empty: normal.
+	// Class is interactive, normal or batch; empty means normal.
 	Class string `yaml:"class"`
-	// KeyRequired refuses calls that may not be repeated and carry no
+	// KeyRequired rejects calls that are not idempotent and have no
 	// Idempotency-Key.
 	KeyRequired bool `yaml:"key_required"`
-	// Slots is how many key slots the service has; it never changes. 0: the
-	// service takes no idempotency keys.
+	// Slots is the number of slots that idempotency keys are hashed to. It must
+	// never change. 0 means that the service accepts no idempotency keys.
 	Slots int `yaml:"slots"`
 }
 
-// Limits bound what callers may take.
+// Limits bounds the resources that callers can use.
 type Limits struct {
 	BodyBytes     int64         `yaml:"body_bytes"`
 	HeaderBytes   int           `yaml:"header_bytes"`
@@ -110,42 +111,43 @@
 	BodyTimeout   time.Duration `yaml:"body_timeout"`
 	IdleTimeout   time.Duration `yaml:"idle_timeout"`
 	MaxDeadline   time.Duration `yaml:"max_deadline"`
-	// InFlight bounds the requests of all callers.
+	// InFlight bounds the requests in flight of all callers together.
 	InFlight int `yaml:"in_flight"`
 }
 
 // Sidecar holds the settings of a sidecar.
 type Sidecar struct {
 	BackendServer BackendServer `yaml:"backend_server"`
-	// QueueLength bounds the requests that wait.
+	// QueueLength bounds the queued requests.
 	QueueLength int `yaml:"queue_length"`
-	// ResultBytes bounds the answers kept for Resolve and idempotency keys.
+	// ResultBytes bounds the memory for answers that are retained for Resolve
+	// and idempotency keys.
 	ResultBytes int `yaml:"result_bytes"`
-	// ResumeWait is how long a stream whose entry is gone waits to be resumed.
+	// ResumeWait is how long a stream waits to be resumed after its entry is lost.
 	ResumeWait time.Duration `yaml:"resume_wait"`
-	// ShutdownTimeout bounds the wait for running requests at shutdown.
+	// ShutdownTimeout bounds the wait for requests in flight at shutdown.
 	ShutdownTimeout time.Duration `yaml:"shutdown_timeout"`
 }
 
-// BackendServer is the backend server beside a sidecar.
+// BackendServer configures the backend server of a sidecar.
 type BackendServer struct {
 	// Service is "models" or the name of a plain service.
 	Service string `yaml:"service"`
-	// Address is an IP number and a port.
+	// Address is the backend server's IP:PORT.
 	Address string `yaml:"address"`
-	// ChecksFencingToken says that it refuses an order below the highest
-	// generation that it has taken. Not all do; for the others the sidecar
-	// alone is the fence.
+	// ChecksFencingToken means that the server itself rejects orders with a
+	// generation below the highest that it has accepted. For servers that do
+	// not, the sidecar is the only fence.
 	ChecksFencingToken bool `yaml:"checks_fencing_token"`
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that it runs concurrently.
 	Slots int `yaml:"slots"`
-	// OrderTimeout is how long an order of unknown outcome may still be in
-	// flight.
+	// OrderTimeout is how long an order with an unknown outcome may still take
+	// effect.
 	OrderTimeout time.Duration `yaml:"order_timeout"`
 }
 
-// Load reads, completes and checks the file. An error in its content is a
-// Problems.
+// Load reads and checks a settings file and fills in the defaults. An error in
+// its content is of type Problems.
 func Load(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -154,7 +156,7 @@
 	return parse(path, data)
 }
 
-// Parse is Load for the content of a file.
+// Parse is like Load for the content of a file.
 func Parse(data []byte) (Settings, error) {
 	return parse("settings", data)
 }
@@ -169,16 +171,16 @@
 	if !r.has("sidecar") {
 		s.Sidecar = nil
 	}
-	if r.whole {
+	if r.parsed {
 		check(s, r)
 	}
 	if len(r.problems) > 0 {
-		return Settings{}, r.sorted()
+		return Settings{}, r.sortedProblems()
 	}
 	return s, nil
 }
 
-// defaults returns the settings that a file may leave out, for both roles.
+// defaults returns the default values for both roles.
 func defaults() Settings {
 	return Settings{
 		Process: Process{Processors: 2},
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -38,7 +38,8 @@
   resume_wait: 1s
 `
 
-// problems returns the lines of the error for sidecarFile with old replaced.
+// problems returns the lines of the error for sidecarFile with old replaced, or
+// nil if there is no error.
 func problems(old, replacement string) []string {
 	GinkgoHelper()
 	Expect(sidecarFile).To(ContainSubstring(old))
@@ -51,7 +52,7 @@
 }
 
 var _ = Describe("Parse", func() {
-	It("fills in what a file leaves out", func() {
+	It("fills in defaults for missing keys", func() {
 		s, err := settings.Parse([]byte(sidecarFile))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.Entry).To(BeNil())
@@ -60,11 +61,11 @@
 		Expect(s.Platform.VMListInterval).To(Equal(time.Second))
 	})
 
-	It("takes keys in quotes", func() {
+	It("accepts keys in quotes", func() {
 		Expect(problems("platform:", `"platform":`)).To(BeEmpty())
 	})
 
-	It("reads what a program wrote, with null, 0 and empty for what is not set", func() {
+	It("reads encoded Settings, with null, 0 and empty for values that are not set", func() {
 		want, err := settings.Parse([]byte(sidecarFile))
 		Expect(err).NotTo(HaveOccurred())
 		written := want
@@ -77,9 +78,9 @@
 		Expect(settings.Parse(data)).To(Equal(want))
 	})
 
-	// Somebody mends a file on a VM that does not start. With one error a
-	// start, five slips of the pen cost five starts.
-	It("reports all errors at once, each with its line", func() {
+	// Guards against reporting only the first error: an operator who fixes a
+	// file with five errors would need five starts of the process.
+	It("reports all errors together, each with its line", func() {
 		file := strings.NewReplacer(
 			"role: sidecar", "role: entry",
 			"10.1.0.5:7001", "gangnam-m1:7001",
@@ -93,19 +94,19 @@
 			`settings:6: listen.callers: found nothing, expected an IP number and a port, such as 10.1.0.5:8080`,
 			`settings:7: listen.links: found "gangnam-m1:7001", expected an IP number and a port, such as 10.1.0.5:8080`,
 			`settings:10: found unknown key "plattform", expected one of entry, listen, log, platform, process, sidecar`,
-			`settings:12: sidecar: found a section, expected none, for the role is entry`,
+			`settings:12: sidecar: found a section, expected none, because the role is entry`,
 			`settings:16: sidecar.resume_wait: found "5", expected a duration with its unit, such as 500ms, 2s or 1m30s`,
 		))
 	})
 
-	DescribeTable("one error", func(old, replacement, want string) {
+	DescribeTable("reports", func(old, replacement, want string) {
 		Expect(problems(old, replacement)).To(ConsistOf(ContainSubstring(want)))
 	},
-		Entry("a number for a text", "gangnam-m1", "7", `settings:2: process.name: found "7", expected a text`),
+		Entry("a number for a string", "gangnam-m1", "7", `settings:2: process.name: found "7", expected a string`),
 		Entry("a bad name", "region: seoul", "region: Seoul", `settings:4: process.region: found "Seoul", expected a name`),
 		Entry("a port of 0", "10.1.0.5:9000", "10.1.0.5:0", `settings:15: sidecar.backend_server.address`),
 		Entry("a list for a mapping", "  address: 10.1.0.2:7000", "  - x", `settings:11: platform: found a list, expected a mapping`),
-		Entry("one address twice", "10.1.0.5:7002", "10.1.0.5:7001", `another address than that of listen.links`),
+		Entry("one address twice", "10.1.0.5:7002", "10.1.0.5:7001", `an address other than that of listen.links`),
 		Entry("a number out of its range", "resume_wait: 1s", "queue_length: -1", `sidecar.queue_length: found -1, expected 1 to 100000`),
 		Entry("a negative duration", "resume_wait: 1s", "resume_wait: -1s", `found -1s, expected 0s to 1m0s`),
 		Entry("callers of a sidecar", "listen:\n", "listen:\n  callers: 10.1.0.5:80\n", `listen.callers`),
@@ -123,14 +124,14 @@
 		Expect(err).To(MatchError(HavePrefix(path + ":1: ")))
 	})
 
-	It("says that there is no file", func() {
+	It("reports a missing file", func() {
 		_, err := settings.Load("/does/not/exist")
 		Expect(err).To(MatchError(os.ErrNotExist))
 	})
 })
 
-// A settings file is written by hand and may hold anything. Whatever it holds,
-// the process must say what is wrong and not crash.
+// FuzzParse checks that Parse reports problems and does not panic on any content:
+// settings files are written by hand.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(sidecarFile))
 	f.Add([]byte("entry:\n  services:\n    holds: {slots: 8, key_required: true}\n"))
--- a/internal/wire/conn.go
+++ b/internal/wire/conn.go
@@ -1,7 +1,7 @@
-// Package wire holds the frames that the project's own processes exchange.
+// Package wire defines the messages that the project's processes exchange.
 //
-// The messages are generated from wire.proto; this file frames them on a
-// stream and proves an answer whole.
+// The messages are generated from wire.proto and share.proto. This file sends and
+// receives them as frames on a stream, and verifies that an answer is complete.
 package wire
 
 import (
@@ -16,22 +16,22 @@
 	"google.golang.org/protobuf/encoding/protodelim"
 )
 
-// MaxFrame is the largest frame in bytes. It leaves room for the largest body
-// of a caller and its headers.
+// MaxFrame is the maximum frame size in bytes. It is large enough for the largest
+// request body of a caller and its headers.
 const MaxFrame = 8 << 20
 
-// keptBuffer is the largest buffer, in bytes, that a Conn keeps for its next
-// frame.
-const keptBuffer = 16 << 10
+// maxRetainedBuffer is the size in bytes above which a Conn does not reuse its
+// buffer for the next frame.
+const maxRetainedBuffer = 16 << 10
 
-// Conn sends and receives frames on one stream. Any goroutine may send; one
-// goroutine receives.
+// Conn sends and receives frames on one stream. Send is safe for concurrent use;
+// Receive is not.
 type Conn struct {
 	stream io.ReadWriteCloser
 	reader *bufio.Reader
 
-	sending sync.Mutex
-	buffer  bytes.Buffer
+	sendMu sync.Mutex
+	buffer bytes.Buffer
 }
 
 // NewConn returns a Conn over stream.
@@ -39,25 +39,25 @@
 	return &Conn{stream: stream, reader: bufio.NewReaderSize(stream, 4<<10)}
 }
 
-// Send writes one frame. After an error the stream is of no further use.
+// Send writes one frame. After an error the stream must not be used any more.
 func (c *Conn) Send(f *Frame) error {
-	c.sending.Lock()
-	defer c.sending.Unlock()
+	c.sendMu.Lock()
+	defer c.sendMu.Unlock()
 	c.buffer.Reset()
 	if _, err := protodelim.MarshalTo(&c.buffer, f); err != nil {
 		return eris.Wrap(err, "encode frame")
 	}
-	// One write for the length and the body: the stream sends each write on its
-	// own.
+	// The length and the body are written together, because the stream sends each
+	// write separately.
 	_, err := c.stream.Write(c.buffer.Bytes())
-	if c.buffer.Cap() > keptBuffer {
+	if c.buffer.Cap() > maxRetainedBuffer {
 		c.buffer = bytes.Buffer{}
 	}
 	return eris.Wrap(err, "send frame")
 }
 
-// Receive reads one frame. It returns io.EOF unwrapped when the stream ended
-// between two frames.
+// Receive reads one frame. It returns an unwrapped io.EOF if the stream ended at
+// a frame boundary.
 func (c *Conn) Receive() (*Frame, error) {
 	f := &Frame{}
 	err := protodelim.UnmarshalOptions{MaxSize: MaxFrame}.UnmarshalFrom(c.reader, f)
@@ -73,8 +73,8 @@
 // Close closes the stream.
 func (c *Conn) Close() error { return c.stream.Close() }
 
-// Digest sums up the chunks of an answer. The zero value is not ready for use;
-// NewDigest returns one.
+// Digest is a running checksum of the chunks of an answer. Use NewDigest; the
+// zero value is not ready for use.
 type Digest struct {
 	hash   *xxhash.Digest
 	chunks uint32
@@ -83,8 +83,8 @@
 // NewDigest returns the Digest of no chunks.
 func NewDigest() *Digest { return &Digest{hash: xxhash.New()} }
 
-// Add adds one chunk and its number, so that two chunks that changed places
-// give another sum.
+// Add adds a chunk and its sequence number, so that chunks in a different order
+// result in a different digest.
 func (d *Digest) Add(c *Chunk) {
 	var sequence [4]byte
 	binary.BigEndian.PutUint32(sequence[:], c.GetSequence())
@@ -93,13 +93,13 @@
 	d.chunks++
 }
 
-// Sum returns the digest of all chunks.
+// Sum returns the digest of all chunks added so far.
 func (d *Digest) Sum() uint64 { return d.hash.Sum64() }
 
-// Chunks returns how many chunks were added.
+// Chunks returns the number of chunks added so far.
 func (d *Digest) Chunks() uint32 { return d.chunks }
 
-// Matches reports whether f ends exactly the chunks that were added.
+// Matches reports whether the number and digest of the added chunks agree with f.
 func (d *Digest) Matches(f *Final) bool {
 	return f.GetChunks() == d.chunks && f.GetDigest() == d.Sum()
 }
--- a/internal/wire/conn_test.go
+++ b/internal/wire/conn_test.go
@@ -21,7 +21,7 @@
 func (*buffer) Close() error { return nil }
 
 var _ = Describe("Conn", func() {
-	It("returns each frame as it was sent", func() {
+	It("receives each frame as it was sent", func() {
 		stream := &buffer{}
 		conn := wire.NewConn(stream)
 		Expect(conn.Send(chunkFrame(0, "a"))).To(Succeed())
@@ -37,9 +37,9 @@
 		Expect(err).To(Equal(io.EOF))
 	})
 
-	// A connection that breaks inside a frame leaves half of it behind. Taken
-	// for the end of the stream, it would pass for a shorter answer.
-	It("tells a cut frame from the end of the stream", func() {
+	// Guards against taking a frame that was truncated by a broken connection for
+	// the end of the stream, which would make the answer look complete.
+	It("distinguishes a truncated frame from the end of the stream", func() {
 		stream := &buffer{}
 		Expect(wire.NewConn(stream).Send(chunkFrame(0, "abcdef"))).To(Succeed())
 		stream.Truncate(stream.Len() - 1)
@@ -51,9 +51,9 @@
 })
 
 var _ = Describe("Digest", func() {
-	// A frame that overtakes another, or is lost, leaves text of a plausible
-	// shape. The caller would read an answer with two sentences swapped.
-	It("differs when chunks are missing or change places", func() {
+	// Guards against a lost or reordered frame going unnoticed: the caller would
+	// read a plausible answer with missing or swapped sentences.
+	It("differs when chunks are missing or reordered", func() {
 		whole := wire.NewDigest()
 		whole.Add(&wire.Chunk{Sequence: 0, Data: []byte("a")})
 		whole.Add(&wire.Chunk{Sequence: 1, Data: []byte("b")})
