--- a/internal/decide/admit/admit.go
+++ b/internal/decide/admit/admit.go
@@ -7,7 +7,7 @@
 // Retry-After derived from the drain rate. If a few callers send most of the load, all
 // others would wait behind them: under saturation each caller is limited to its weighted
 // max-min fair share. Shares are in token cost, not in requests, because one long prompt
-// costs as much as a hundred lookups.
+// costs as much as a hundred short ones.
 package admit
 
 import (
@@ -31,7 +31,7 @@
 	// in the traffic mix (minutes) and longer than the gaps between the requests of an
 	// active caller (seconds).
 	DefaultWindow = 5 * time.Second
-	// DefaultAccounts is the maximum number of accounts tracked.
+	// DefaultMaxAccounts is the maximum number of accounts tracked.
 	DefaultMaxAccounts = 9_600
 	// DefaultRemoteTTL is how long usage received by gossip counts without renewal: a few
 	// gossip rounds of 1 s.
--- a/internal/decide/admit/admit_test.go
+++ b/internal/decide/admit/admit_test.go
@@ -67,7 +67,7 @@
 	It("rejects a request that cannot meet its deadline, with a Retry-After", func() {
 		a := admit.New(admit.Config{Rand: rand.New(rand.NewPCG(1, 1))})
 		fill(a)
-		d := a.Decide(at(time.Second), request("user-1", 20_000), overloaded)
+		d := a.Decide(at(time.Second), request("booker", 20_000), overloaded)
 		Expect(d.Admit).To(BeFalse())
 		Expect(d.Reason).To(Equal(admit.PastDeadline))
 		Expect(d.RetryAfter).To(BeNumerically("~", 12*time.Second, 4*time.Second))
@@ -78,7 +78,7 @@
 		fill(a)
 		delays := make(map[time.Duration]bool)
 		for range 10 {
-			delays[a.Decide(at(time.Second), request("user-1", 20_000), overloaded).RetryAfter] = true
+			delays[a.Decide(at(time.Second), request("booker", 20_000), overloaded).RetryAfter] = true
 		}
 		Expect(delays).To(HaveLen(10))
 	})
@@ -139,10 +139,10 @@
 	It("admits while the drain rate is unknown, and afterwards", func() {
 		a := admit.New(admit.Config{})
 		for i := range 100 {
-			d := a.Decide(at(time.Duration(i)*10*time.Millisecond), request("user-1", 2_000), admit.LoadSnapshot{})
+			d := a.Decide(at(time.Duration(i)*10*time.Millisecond), request("booker", 2_000), admit.LoadSnapshot{})
 			Expect(d.Admit).To(BeTrue())
 		}
-		d := a.Decide(at(1001*time.Millisecond), request("user-2", 2_000), saturated)
+		d := a.Decide(at(1001*time.Millisecond), request("assayer", 2_000), saturated)
 		Expect(d.Admit).To(BeTrue())
 	})
 
--- a/internal/decide/outlier/outlier.go
+++ b/internal/decide/outlier/outlier.go
@@ -28,7 +28,7 @@
 	// within a minute, too few to show in a 95th percentile.
 	DefaultMinWeight = 0.05
 	// DefaultMaxOutlierFraction is the largest fraction of the peers whose weights may
-	// be lowered concurrently. A fixed fleet at 80% load cannot lose more than a fifth
+	// be lowered at the same time. A fixed fleet at 80% load cannot lose more than a fifth
 	// and still serve.
 	DefaultMaxOutlierFraction = 0.25
 	// DefaultHalfLife is the half-life of observations.
--- a/internal/decide/place/engine.go
+++ b/internal/decide/place/engine.go
@@ -76,7 +76,7 @@
 // The end of a prefill is only known after the network latency. So the time since the
 // last known end counts against all prefills and not only the first. If even the
 // largest of them should have ended, the engine is stalled or has slowed down: it is
-// expected to need its whole queue time and, once more, the time by which it is
+// expected to need the time of its whole queue plus the time by which it is already
 // overdue. Otherwise an unresponsive engine would look as busy as any other, and each
 // gateway would send it prompts until its first time-out.
 func (e *engine) queueDelay(now time.Time) time.Duration {
--- a/internal/decide/place/place.go
+++ b/internal/decide/place/place.go
@@ -20,7 +20,8 @@
 
 const (
 	// priorDecodeSlowdown is how many times as long a decode engine takes for a
-	// prefill, by the platform's protocol, until prefills there were observed.
+	// prefill, according to the platform's protocol, until prefills there were
+	// observed.
 	priorDecodeSlowdown = 2
 	// prefillExpiry is by how much a prefill may exceed its expected time before it
 	// counts as lost.
@@ -32,7 +33,7 @@
 	// start of a transfer and a decode step.
 	priorHandoverTime = 15 * time.Millisecond
 	// crossDataCentreFactor is how many times as long a KV transfer takes between data
-	// centres, by the platform's protocol.
+	// centres, according to the platform's protocol.
 	crossDataCentreFactor = 2
 	// prefillWeight is the weight of an engine's prefill time in the cost of a plan,
 	// beyond the delay of the request itself: it delays all requests that come after
--- a/internal/decide/place/place_test.go
+++ b/internal/decide/place/place_test.go
@@ -48,7 +48,7 @@
 	return f
 }
 
-// unhurried requests are admitted whatever the queue delay.
+// unhurried constraints admit a request whatever its queue delay.
 var unhurried = place.Constraints{Objective: time.Hour, Remaining: time.Hour}
 
 func plan(f *place.Fleet, now time.Time, j place.Job) place.Plan {
@@ -354,8 +354,8 @@
 		Expect(waiting(200)).To(BeZero())
 	})
 
-	// Guards against a load that never ends: the gateway that sent a prompt is killed
-	// and never reports its end.
+	// Guards against an engine that looks busy to the other gateways forever: the
+	// gateway that sent a prompt is killed and never reports its end.
 	It("expires if its end is never reported", func() {
 		f := newFleet(1, 1)
 		plan(f, at(0), place.Job{ID: 1, Prompt: prompt(1, 0, 50_000, 1)})
@@ -695,7 +695,8 @@
 		Expect(again.CachedTokens).To(BeZero())
 	})
 
-	// One of two requests with the same shared segment fails while it is prefilled.
+	// Guards against dropping a segment that was cached before: a later request that
+	// shares it fails during its prefill.
 	It("leaves what the engine had cached before", func() {
 		f := calibratedFleet(1, 1)
 		first := plan(f, at(0), place.Job{ID: 1, Prompt: prompt(7, 13_000, 3_000, 1)})
@@ -724,7 +725,8 @@
 })
 
 var _ = Describe("a request whose engine terminated", func() {
-	// The next engine may terminate too, with all answers that run there.
+	// Guards against losing many answers: the next engine may terminate too,
+	// with all answers that run there.
 	It("goes to the engine with the fewest answers", func() {
 		f := calibratedFleet(1, 3)
 		for n := range 10 {
--- a/internal/decide/predict/decode_test.go
+++ b/internal/decide/predict/decode_test.go
@@ -76,7 +76,8 @@
 		Expect(maxDecodeError(s, decodeParams{90, 3e-4, 0.3}, rng)).To(BeNumerically("<", 0.15))
 	})
 
-	// An engine stalls for seconds, after which all its streams get their next event.
+	// Guards against estimates that are too long after a stall: an engine stalls for
+	// seconds, and then all its streams get their next event.
 	It("is not distorted by stalled streams", func() {
 		rng := rand.New(rand.NewPCG(25, 26))
 		s := predict.NewDecodeModel()
--- a/internal/decide/predict/lengths.go
+++ b/internal/decide/predict/lengths.go
@@ -21,8 +21,8 @@
 // LengthModel is a log-normal model of the number of stream events of an answer, given the
 // caller's hint in tokens: an event carries several tokens, and hints are often far off.
 type LengthModel struct {
-	// logEventsPerToken is the mean logarithm of events per hinted token, variance its
-	// variance.
+	// logEventsPerToken is the mean logarithm of events per hinted token, variance the
+	// variance of that logarithm.
 	logEventsPerToken, variance float64
 	samples                     int
 }
--- a/internal/decide/predict/predict_test.go
+++ b/internal/decide/predict/predict_test.go
@@ -70,8 +70,9 @@
 )
 
 var _ = Describe("PrefillModel", func() {
-	// Guards against rejecting requests that would meet their deadline: engines may prefill
-	// five times as fast as those of another installation.
+	// Guards against rejecting requests that would meet their deadline: the engines of one
+	// installation prefill five times as fast as those of another, and look slow until the
+	// model has learned their speed.
 	DescribeTable("estimates engines of any speed to within 15% after 60 prefills",
 		func(s engineParams) {
 			rng := rand.New(rand.NewPCG(1, 2))
@@ -87,7 +88,7 @@
 		Entry("dominated by attention", attentionBound),
 	)
 
-	// All engines are replaced under load.
+	// All engines are replaced by others under load.
 	It("adapts to engines that change their speed", func() {
 		rng := rand.New(rand.NewPCG(3, 4))
 		r := predict.NewPrefillModel(1)
@@ -174,9 +175,9 @@
 })
 
 var _ = Describe("HandoverModel", func() {
-	// Guards against wrong estimates for handovers: engines run prefills that were handed
-	// to them before or behind those of their own queue. A wrong assumption rejects answers
-	// that would be in time, or admits ones that are late.
+	// Guards against wrong estimates for handovers: engines may serve answers that were
+	// handed over to them before or after the prefills in their own queue. A wrong
+	// assumption rejects answers that would be in time, or admits ones that are late.
 	DescribeTable("estimates the delay by a backlog to within 15% after 100 answers",
 		func(base time.Duration, fraction float64) {
 			rng := rand.New(rand.NewPCG(11, 12))
--- a/internal/decide/predict/snapshot.go
+++ b/internal/decide/predict/snapshot.go
@@ -118,8 +118,8 @@
 		s.Variance >= 0 && s.Samples >= 0
 }
 
-// Restore loads a valid snapshot from an earlier process, unless the estimate is calibrated
-// already.
+// Restore loads a snapshot from an earlier process, unless the estimate is calibrated
+// already. The caller must have checked that it is valid.
 func (e *EngineSpeed) Restore(s EngineSnapshot) {
 	if !e.Calibrated() {
 		*e = EngineSpeed{logSlowdown: s.LogSlowdown, variance: s.Variance, samples: s.Samples}
--- a/internal/decide/queue/queue.go
+++ b/internal/decide/queue/queue.go
@@ -1,12 +1,12 @@
 // Package queue schedules the requests that are queued at a sidecar.
 //
 // It guards against short requests stuck behind long ones, and callers that fill the queue.
-// With first in, first out, a lookup waits behind a prompt of 50,000 tokens; symptom: the
-// tail of the time to first token is as long as the longest prefill. With shortest job
-// first, long requests starve. Instead, items are queued in lanes by class and size; lanes
-// share the engine by weight (stride scheduling), callers within a lane by the work served
-// to them, and items of equally served callers are ordered by deadline. Expired items are
-// removed before they cost anything.
+// With first in, first out, a short request waits behind a prompt of 50,000 tokens;
+// symptom: the tail of the time to first token is as long as the longest prefill. With
+// shortest job first, long requests starve. Instead, items are queued in lanes by class and
+// size; lanes share the engine by weight (stride scheduling), callers within a lane by the
+// work served to them, and items of equally served callers are ordered by deadline. Expired
+// items are removed before they cost anything.
 //
 // Capacity is counted in batch slots and KV cache blocks, never in requests: ten long
 // prompts fill a cache that a hundred short ones leave half empty, and an engine whose
@@ -42,8 +42,8 @@
 )
 
 // DefaultClassWeights holds the weights of class 0, 1, 2 and so on; further classes have
-// the last weight. Lookups are preferred to drafts, drafts to background work, and none of
-// them starves.
+// the last weight. Interactive requests are preferred to normal ones, those to batch work,
+// and none of them starves.
 var DefaultClassWeights = []float64{8, 4, 1}
 
 // Config configures a Queue. A zero field means its default.
@@ -55,7 +55,7 @@
 	MaxServiceLead   float64
 	ReserveAfter     time.Duration
 	ClassWeights     []float64
-	// Pieces is the size of the engine's KV cache in blocks; an item that needs more is
+	// KVBlocks is the size of the engine's KV cache in blocks; an item that needs more is
 	// rejected. 0 means unknown.
 	KVBlocks int
 }
@@ -76,7 +76,7 @@
 	RunTime time.Duration
 }
 
-// Capacity is the free capacity of an engine: batch slots and KV cache blocks.
+// Capacity is what an engine has free: batch slots and KV cache blocks.
 type Capacity struct {
 	Slots    int
 	KVBlocks int
--- a/internal/decide/queue/queue_test.go
+++ b/internal/decide/queue/queue_test.go
@@ -52,9 +52,9 @@
 	It("does not queue short requests behind long ones", func() {
 		q := queue.New(queue.Config{})
 		for i := range 20 {
-			q.Push(start, item(fmt.Sprintf("long-%d", i), "batch", 50_000))
+			q.Push(start, item(fmt.Sprintf("long-%d", i), "archive", 50_000))
 		}
-		q.Push(start, item("short", "interactive", 500))
+		q.Push(start, item("short", "booker", 500))
 		Expect(pops(q, start, 2)).To(ContainElement(HaveField("ID", "short")))
 	})
 
@@ -62,10 +62,10 @@
 	// while short ones keep arriving.
 	It("does not starve long requests", func() {
 		q := queue.New(queue.Config{})
-		q.Push(start, item("long", "batch", 50_000))
+		q.Push(start, item("long", "archive", 50_000))
 		poppedAt := 1_000
 		for i := range 1_000 {
-			q.Push(start, item(fmt.Sprintf("short-%d", i), "interactive", 500))
+			q.Push(start, item(fmt.Sprintf("short-%d", i), "booker", 500))
 			if popped, _ := q.Pop(start, free); popped.ID == "long" {
 				poppedAt = i
 				break
@@ -100,7 +100,7 @@
 	// are past their deadlines and nobody waits for the answers.
 	It("never starts an item past its deadline, and returns it as expired", func() {
 		q := queue.New(queue.Config{})
-		q.Push(start, item("late", "interactive", 1_000))
+		q.Push(start, item("late", "booker", 1_000))
 		_, ok := q.Pop(at(2*time.Minute), free)
 		Expect(ok).To(BeFalse())
 		Expect(q.TakeExpired(at(2 * time.Minute))).To(HaveExactElements(
@@ -125,9 +125,9 @@
 	// prompt that needs many blocks at the same time never fits.
 	It("reserves capacity for a long prompt that has been passed over", func() {
 		q := queue.New(queue.Config{})
-		q.Push(start, item("long", "batch", 100_000))
+		q.Push(start, item("long", "archive", 100_000))
 		for i := range 50 {
-			q.Push(start, item(fmt.Sprintf("short-%d", i), "interactive", 500))
+			q.Push(start, item(fmt.Sprintf("short-%d", i), "booker", 500))
 		}
 		small := queue.Capacity{Slots: 1, KVBlocks: 20}
 		for range 2 {
@@ -147,7 +147,7 @@
 
 	It("rejects an item that can never fit", func() {
 		q := queue.New(queue.Config{KVBlocks: 10})
-		ok, _ := q.Push(start, item("huge", "batch", 100_000))
+		ok, _ := q.Push(start, item("huge", "archive", 100_000))
 		Expect(ok).To(BeFalse())
 	})
 })
--- a/internal/decide/queue/scheduling.go
+++ b/internal/decide/queue/scheduling.go
@@ -150,8 +150,8 @@
 	q.callers[item.Caller].served += item.cost
 }
 
-// advance moves the virtual times up to the minimum over the queued items, and deletes idle
-// callers that are not ahead of it.
+// advance moves the virtual times up to the minimum over the queued items. It deletes idle
+// callers that are not ahead of it, and all idle ones if there are too many callers.
 func (q *Queue) advance() {
 	if len(q.byID) == 0 {
 		return
--- a/internal/decide/ratelimit/allowance.go
+++ b/internal/decide/ratelimit/allowance.go
@@ -13,7 +13,7 @@
 	// extraSenders is the maximum number of senders beyond the number of requests a second
 	// that the server accepts.
 	extraSenders = 4
-	// burstWindow bounds bursts: a gateway may send its share for this time at once.
+	// burstWindow bounds bursts: a gateway may send its share for this time in one burst.
 	burstWindow = 250 * time.Millisecond
 	// joinDelay is how long a gateway that becomes a sender waits, so that the one it
 	// replaces has learned of the change as well.
@@ -22,8 +22,9 @@
 	// how long it takes to double.
 	recoveryPeriod = 3 * time.Second
 	doublingTime   = 500 * time.Millisecond
-	// If no response of a server is known for minSilence, or for the time of
-	// silenceRequests requests if that is longer, its senders are assumed not to use it.
+	// minSilence and silenceRequests are after how long, or after how many expected
+	// requests if that is longer, a server without a known response counts as not used
+	// by its senders.
 	minSilence      = 10 * time.Second
 	silenceRequests = 4
 )
@@ -40,8 +41,8 @@
 
 // allowance is the token bucket of one gateway for a server.
 //
-// A limit is often smaller than the number of gateways. If all had equal shares, the
-// first request of each would together exceed the limit. A few gateways, the senders,
+// A limit is often smaller than the number of gateways. If all had equal shares, the first
+// requests of all of them would together exceed the limit. A few gateways, the senders,
 // therefore have equal shares, and the others send nothing. Senders are selected by rank,
 // which needs no messages. Over any period, together they send at most the limit plus one
 // burst each: one request, or the sender's share for burstWindow if that is more.
@@ -57,15 +58,15 @@
 
 // totalRate returns how many requests a second all gateways together may send to the
 // server, or false if it is no longer limited.
-func (e *entry) totalRate(now time.Duration) (float64, bool) {
-	if e.latest.Limited {
-		return max(minRate, e.latest.PerSecond), true
+func (l *serverLimit) totalRate(now time.Duration) (float64, bool) {
+	if l.latest.Limited {
+		return max(minRate, l.latest.PerSecond), true
 	}
-	elapsed := now - e.endedAt
+	elapsed := now - l.endedAt
 	if elapsed >= recoveryPeriod {
 		return 0, false
 	}
-	return max(minRate, e.endedLimit) * math.Exp2(float64(elapsed)/float64(doublingTime)), true
+	return max(minRate, l.endedLimit) * math.Exp2(float64(elapsed)/float64(doublingTime)), true
 }
 
 // senderCount returns how many of the gateways may send at a rate.
@@ -77,34 +78,34 @@
 }
 
 // isSender reports whether this gateway is one of the senders at a rate.
-func (e *entry) isSender(rate float64) bool {
-	return e.rank.Total > 0 && e.rank.Position < senderCount(rate, e.round, e.rank.Total)
+func (l *serverLimit) isSender(rate float64) bool {
+	return l.rank.Total > 0 && l.rank.Position < senderCount(rate, l.round, l.rank.Total)
 }
 
 // currentRound returns the number of periods of silence since the last known response of
 // the server. In each one, a different gateway probes whether the limit still applies.
-func (e *entry) currentRound(now time.Duration, rate float64) uint64 {
-	if !e.latest.Limited {
+func (l *serverLimit) currentRound(now time.Duration, rate float64) uint64 {
+	if !l.latest.Limited {
 		return 0
 	}
 	silence := max(minSilence, time.Duration(silenceRequests/rate*float64(time.Second)))
-	return uint64(max(0, now-e.latest.ReceivedAt) / silence)
+	return uint64(max(0, now-l.latest.ReceivedAt) / silence)
 }
 
 // refresh updates the allowance to now. It returns this gateway's share of the rate and
 // whether it is a sender; limited is false if the server is no longer limited.
-func (e *entry) refresh(now time.Duration, ranking Ranking) (share float64, sender, limited bool) {
-	rate, limited := e.totalRate(now)
+func (l *serverLimit) refresh(now time.Duration, ranking Ranking) (share float64, sender, limited bool) {
+	rate, limited := l.totalRate(now)
 	if !limited {
 		return 0, false, false
 	}
-	if round := e.currentRound(now, rate); round != e.round {
-		e.round = round
-		e.rank = ranking(e.latest.Server.ID, round)
+	if round := l.currentRound(now, rate); round != l.round {
+		l.round = round
+		l.rank = ranking(l.latest.Server.ID, round)
 	}
-	share = rate / float64(senderCount(rate, e.round, e.rank.Total))
-	e.fill(now, share)
-	return share, e.isSender(rate) && now >= e.blockedUntil, true
+	share = rate / float64(senderCount(rate, l.round, l.rank.Total))
+	l.fill(now, share)
+	return share, l.isSender(rate) && now >= l.blockedUntil, true
 }
 
 // fill adds the tokens for the time since the last call.
@@ -116,22 +117,22 @@
 
 // Allows reports whether this gateway may send a request to a server now.
 func (t *Table) Allows(now time.Duration, server string) bool {
-	e, ok := t.entries[server]
+	l, ok := t.limits[server]
 	if !ok {
 		return true
 	}
-	_, sender, limited := e.refresh(now, t.ranking)
-	return !limited || (sender && e.tokens >= 1)
+	_, sender, limited := l.refresh(now, t.ranking)
+	return !limited || (sender && l.tokens >= 1)
 }
 
 // Share returns this gateway's share of a server's limit, in requests a second, or 0 if it
 // must not send to the server now.
 func (t *Table) Share(now time.Duration, server string) float64 {
-	e, ok := t.entries[server]
+	l, ok := t.limits[server]
 	if !ok {
 		return 0
 	}
-	if share, sender, _ := e.refresh(now, t.ranking); sender {
+	if share, sender, _ := l.refresh(now, t.ranking); sender {
 		return share
 	}
 	return 0
@@ -139,28 +140,28 @@
 
 // Take records a request to a server, including one that Allows would have rejected.
 func (t *Table) Take(now time.Duration, server string) {
-	if e, ok := t.entries[server]; ok {
-		e.refresh(now, t.ranking)
-		e.tokens--
+	if l, ok := t.limits[server]; ok {
+		l.refresh(now, t.ranking)
+		l.tokens--
 	}
 }
 
 // RetryAfter returns the time until this or another gateway may send a request to a server, 0
 // if the server is not limited.
 func (t *Table) RetryAfter(now time.Duration, server string) time.Duration {
-	e, ok := t.entries[server]
+	l, ok := t.limits[server]
 	if !ok {
 		return 0
 	}
-	share, sender, limited := e.refresh(now, t.ranking)
+	share, sender, limited := l.refresh(now, t.ranking)
 	switch {
 	case !limited:
 		return 0
 	case sender:
-		return time.Duration(max(0, 1-e.tokens) / share * float64(time.Second))
+		return time.Duration(max(0, 1-l.tokens) / share * float64(time.Second))
 	default:
 		// The senders together send at the total rate.
-		rate, _ := e.totalRate(now)
+		rate, _ := l.totalRate(now)
 		return time.Duration(float64(time.Second) / rate)
 	}
 }
@@ -168,15 +169,15 @@
 // UpdateRanks recomputes the rank of this gateway for all servers with a limit. It is to be
 // called when the set of gateways may have changed.
 func (t *Table) UpdateRanks(now time.Duration) {
-	for _, e := range t.entries {
-		rate, limited := e.totalRate(now)
+	for _, l := range t.limits {
+		rate, limited := l.totalRate(now)
 		if !limited {
 			continue
 		}
-		wasSender := e.isSender(rate)
-		e.rank = t.ranking(e.latest.Server.ID, e.round)
-		if e.isSender(rate) && !wasSender {
-			e.blockedUntil = now + joinDelay
+		wasSender := l.isSender(rate)
+		l.rank = t.ranking(l.latest.Server.ID, l.round)
+		if l.isSender(rate) && !wasSender {
+			l.blockedUntil = now + joinDelay
 		}
 	}
 }
--- a/internal/decide/ratelimit/allowance_test.go
+++ b/internal/decide/ratelimit/allowance_test.go
@@ -60,8 +60,8 @@
 		Expect(sent(9.5, 10)).To(BeZero())
 	})
 
-	// Guards against too many senders while the gateways do not yet know the same set of
-	// gateways.
+	// Guards against exceeding the limit by too many senders while the gateways do not yet
+	// know the same set of gateways.
 	It("are not allowed for a while when the gateway replaces another sender", func() {
 		rank = ratelimit.Rank{Position: 3, Total: 40}
 		table.Add(0, notice(1, 1, -1, 0))
--- a/internal/decide/ratelimit/bound_test.go
+++ b/internal/decide/ratelimit/bound_test.go
@@ -127,7 +127,7 @@
 	return s
 }
 
-// after schedules a call.
+// after schedules do to be called in d.
 func (s *simulation) after(d time.Duration, do func(time.Duration)) {
 	s.seq++
 	heap.Push(&s.queue, event{at: s.now + d, seq: s.seq, do: do})
--- a/internal/decide/ratelimit/ratelimit.go
+++ b/internal/decide/ratelimit/ratelimit.go
@@ -83,11 +83,11 @@
 // concurrent use.
 type Table struct {
 	ranking Ranking
-	entries map[string]*entry
+	limits  map[string]*serverLimit
 }
 
-// entry is the limit of one incarnation of a server.
-type entry struct {
+// serverLimit is the limit of one incarnation of a server.
+type serverLimit struct {
 	// latest is the newest notice.
 	latest Notice
 	// reportedLimit is the limit last reported as Begun or Changed.
@@ -101,42 +101,42 @@
 }
 
 // New returns an empty Table.
-func New(r Ranking) *Table { return &Table{ranking: r, entries: make(map[string]*entry)} }
+func New(r Ranking) *Table { return &Table{ranking: r, limits: make(map[string]*serverLimit)} }
 
 // Len returns the number of servers that have, or recently had, a limit.
-func (t *Table) Len() int { return len(t.entries) }
+func (t *Table) Len() int { return len(t.limits) }
 
 // Tracks reports whether a server has, or recently had, a limit.
 func (t *Table) Tracks(server string) bool {
-	_, ok := t.entries[server]
+	_, ok := t.limits[server]
 	return ok
 }
 
 // Limit returns the limit that a server states, in requests a second.
 func (t *Table) Limit(server string) (perSecond float64, ok bool) {
-	e, ok := t.entries[server]
-	if !ok || !e.latest.Limited {
+	l, ok := t.limits[server]
+	if !ok || !l.latest.Limited {
 		return 0, false
 	}
-	return e.latest.PerSecond, true
+	return l.latest.PerSecond, true
 }
 
 // Add merges a notice and returns its effect.
 func (t *Table) Add(now time.Duration, n Notice) Change {
-	e, ok := t.entries[n.Server.ID]
+	l, ok := t.limits[n.Server.ID]
 	switch {
 	case !ok:
 		return t.insert(now, n)
-	case n.Server.Incarnation < e.latest.Server.Incarnation:
+	case n.Server.Incarnation < l.latest.Server.Incarnation:
 		return Unchanged
-	case n.Server.Incarnation > e.latest.Server.Incarnation:
-		return t.replace(now, e, n)
-	case n.ReceivedAt <= e.latest.RequestedAt:
+	case n.Server.Incarnation > l.latest.Server.Incarnation:
+		return t.replace(now, l, n)
+	case n.ReceivedAt <= l.latest.RequestedAt:
 		return Unchanged
-	case !n.newerThan(e.latest):
-		return e.merge(n)
+	case !n.newerThan(l.latest):
+		return l.merge(n)
 	}
-	return e.setLatest(n)
+	return l.setLatest(n)
 }
 
 // insert adds the first notice of a server. A notice without a limit is ignored.
@@ -145,20 +145,20 @@
 		return Unchanged
 	}
 	t.evictOldest()
-	e := &entry{latest: n, reportedLimit: n.PerSecond}
-	e.refilledAt = now
-	e.rank = t.ranking(n.Server.ID, 0)
-	t.entries[n.Server.ID] = e
+	l := &serverLimit{latest: n, reportedLimit: n.PerSecond}
+	l.refilledAt = now
+	l.rank = t.ranking(n.Server.ID, 0)
+	t.limits[n.Server.ID] = l
 	return Begun
 }
 
 // replace adds the first notice of a later incarnation of a server.
-func (t *Table) replace(now time.Duration, e *entry, n Notice) Change {
-	delete(t.entries, n.Server.ID)
+func (t *Table) replace(now time.Duration, l *serverLimit, n Notice) Change {
+	delete(t.limits, n.Server.ID)
 	if t.insert(now, n) == Begun {
 		return Begun
 	}
-	if e.latest.Limited {
+	if l.latest.Limited {
 		return Ended
 	}
 	return Unchanged
@@ -173,32 +173,32 @@
 }
 
 // merge adds a notice whose interval overlaps with that of the latest one.
-func (e *entry) merge(n Notice) Change {
+func (l *serverLimit) merge(n Notice) Change {
 	switch {
-	case n.sameLimit(e.latest):
-		e.latest.RequestedAt, e.latest.ReceivedAt = max(e.latest.RequestedAt, n.RequestedAt), max(e.latest.ReceivedAt, n.ReceivedAt)
+	case n.sameLimit(l.latest):
+		l.latest.RequestedAt, l.latest.ReceivedAt = max(l.latest.RequestedAt, n.RequestedAt), max(l.latest.ReceivedAt, n.ReceivedAt)
 		return Unchanged
-	case n.stricter(e.latest):
-		return e.setLatest(n)
+	case n.stricter(l.latest):
+		return l.setLatest(n)
 	default:
 		return Unchanged
 	}
 }
 
 // setLatest makes a notice the latest one.
-func (e *entry) setLatest(n Notice) Change {
-	previous := e.latest
-	e.latest = n
+func (l *serverLimit) setLatest(n Notice) Change {
+	previous := l.latest
+	l.latest = n
 	switch {
 	case !n.Limited && !previous.Limited:
 		return Unchanged
 	case !n.Limited:
-		e.endedLimit, e.endedAt = previous.PerSecond, n.ReceivedAt
+		l.endedLimit, l.endedAt = previous.PerSecond, n.ReceivedAt
 		return Ended
-	case previous.Limited && math.Abs(n.PerSecond-e.reportedLimit) <= minRelativeChange*e.reportedLimit:
+	case previous.Limited && math.Abs(n.PerSecond-l.reportedLimit) <= minRelativeChange*l.reportedLimit:
 		return Unchanged
 	}
-	e.reportedLimit = n.PerSecond
+	l.reportedLimit = n.PerSecond
 	if previous.Limited {
 		return Changed
 	}
@@ -208,35 +208,35 @@
 // Prune drops ended limits, and those of servers that are not known, once their
 // retention has elapsed.
 func (t *Table) Prune(now time.Duration, known func(server string) bool) {
-	maps.DeleteFunc(t.entries, func(id string, e *entry) bool {
-		if !e.latest.Limited && now-e.endedAt >= endedRetention {
+	maps.DeleteFunc(t.limits, func(id string, l *serverLimit) bool {
+		if !l.latest.Limited && now-l.endedAt >= endedRetention {
 			return true
 		}
-		return !known(id) && now-e.latest.ReceivedAt >= removedRetention
+		return !known(id) && now-l.latest.ReceivedAt >= removedRetention
 	})
 }
 
 // PendingAnnouncements returns up to limit notices that other gateways may not have,
 // the least recently announced first.
 func (t *Table) PendingAnnouncements(now time.Duration, limit int) []Notice {
-	entries := slices.SortedFunc(maps.Values(t.entries), func(a, b *entry) int {
+	byAge := slices.SortedFunc(maps.Values(t.limits), func(a, b *serverLimit) int {
 		return cmp.Or(cmp.Compare(a.announcedAt, b.announcedAt), cmp.Compare(a.latest.Server.ID, b.latest.Server.ID))
 	})
-	notices := make([]Notice, 0, min(limit, len(entries)))
-	for _, e := range entries[:min(limit, len(entries))] {
-		e.announcedAt = now
-		notices = append(notices, e.latest)
+	notices := make([]Notice, 0, min(limit, len(byAge)))
+	for _, l := range byAge[:min(limit, len(byAge))] {
+		l.announcedAt = now
+		notices = append(notices, l.latest)
 	}
 	return notices
 }
 
 // evictOldest drops the least recently received limit if there are maxServers.
 func (t *Table) evictOldest() {
-	if len(t.entries) < maxServers {
+	if len(t.limits) < maxServers {
 		return
 	}
-	oldest := slices.MinFunc(slices.Collect(maps.Values(t.entries)), func(a, b *entry) int {
+	oldest := slices.MinFunc(slices.Collect(maps.Values(t.limits)), func(a, b *serverLimit) int {
 		return cmp.Or(cmp.Compare(a.latest.ReceivedAt, b.latest.ReceivedAt), cmp.Compare(a.latest.Server.ID, b.latest.Server.ID))
 	})
-	delete(t.entries, oldest.latest.Server.ID)
+	delete(t.limits, oldest.latest.Server.ID)
 }
--- a/internal/decide/retry/retry_test.go
+++ b/internal/decide/retry/retry_test.go
@@ -20,8 +20,8 @@
 func at(d time.Duration) time.Time { return start.Add(d) }
 
 var _ = Describe("Budget", func() {
-	// Guards against running a request twice: a connection to a backend server breaks while
-	// it may be running a request with side effects.
+	// Guards against running a request twice: the connection to a backend server breaks
+	// while it may be running a request with side effects, which a retry would repeat.
 	It("never retries a request that may have run and is not idempotent", func() {
 		b := retry.New(retry.Config{})
 		b.Succeeded(start, 1_000_000)
--- a/internal/decide/roles/roles_test.go
+++ b/internal/decide/roles/roles_test.go
@@ -196,7 +196,8 @@
 		Expect(share(5, roles.AnswerStats{MissRateKnown: true, ExpectedMissRate: 0.06, MaxEvents: 59})).To(Equal(0.5))
 	})
 
-	// New engines join in any role while no orders can be given.
+	// Guards against a share outside these bounds after new engines have all joined in one
+	// role while no orders could be given.
 	It("is between the two shares for any roles of the engines", func() {
 		for decode := range 11 {
 			for _, misses := range []float64{0, 0.1, 0.5} {
--- a/internal/decide/roles/share.go
+++ b/internal/decide/roles/share.go
@@ -10,7 +10,7 @@
 	// longDecodeShare is the fraction of decode engines for long answers.
 	longDecodeShare = 0.5
 	// longAnswerEvents is the value of AnswerStats.MaxEvents from which answers are
-	// assumed to be long while none have been observed.
+	// assumed to be long, unless their miss rate is known to be negligible.
 	longAnswerEvents = 40
 	// raiseMissRate is the miss rate above which one more engine decodes. The raised
 	// share is held until the rate falls below lowerMissRate, so that a burst does not
--- a/internal/decide/route/prefix_index.go
+++ b/internal/decide/route/prefix_index.go
@@ -14,8 +14,8 @@
 	// expectedTTL is how long a block is assumed to be cached at a server that
 	// was sent its prompt, unless a cache event confirms it.
 	expectedTTL = time.Minute
-	// lostEventsTTL limits both after cache events of the server were lost,
-	// because one of them may have reported an eviction.
+	// lostEventsTTL is how long blocks remain valid after cache events of their
+	// server were lost, one of which may have reported an eviction.
 	lostEventsTTL = 10 * time.Second
 )
 
@@ -30,7 +30,7 @@
 	insertionOrder []uint64
 }
 
-// lostEvents is when cache events of one backend server were lost. Entries
+// lostEvents is when cache events of one backend server were lost. Holders
 // confirmed at or before voidUntil are invalid; those confirmed at or before
 // first or last become invalid lostEventsTTL after that time.
 type lostEvents struct{ voidUntil, first, last time.Time }
--- a/internal/decide/route/route_test.go
+++ b/internal/decide/route/route_test.go
@@ -59,8 +59,8 @@
 		Expect(ok).To(BeFalse())
 	})
 
-	// Guards against needless prefills: on an engine without the cached prefix, a
-	// prompt of 40,000 tokens takes four seconds more.
+	// Guards against needless prefills: on an engine without the cached prefix, the
+	// caller of a prompt of 40,000 tokens waits four seconds longer.
 	It("prefers the engine that has the prompt cached", func() {
 		a, b := engine("a"), engine("b")
 		b.CachedBlocks = 19
