--- a/cmd/pistachioroad/main_test.go
+++ b/cmd/pistachioroad/main_test.go
@@ -143,10 +143,10 @@
 		status, _ = d.run("defaults", "set", "class=")
 		Expect(status).To(Equal(exitOK))
 		_, output = d.run("-json", "defaults", "get")
-		var answer defaultsOutput
-		Expect(json.Unmarshal([]byte(output), &answer)).To(Succeed())
-		Expect(answer.Set.String()).To(Equal("role_change_cost=5"))
-		Expect(*answer.InForce.Class).To(Equal("normal"))
+		var decoded defaultsOutput
+		Expect(json.Unmarshal([]byte(output), &decoded)).To(Succeed())
+		Expect(decoded.Set.String()).To(Equal("role_change_cost=5"))
+		Expect(*decoded.InForce.Class).To(Equal("normal"))
 	})
 
 	It("adds, lists and removes exceptions, and records the history", func() {
@@ -233,8 +233,8 @@
 		Expect(output).To(ContainSubstring("lee: set defaults role_change_cost=9"))
 	})
 
-	// Guards against uncertainty whether an edit that was made while the store is down becomes
-	// active when the store is up again.
+	// Guards against an operator who cannot tell whether an edit that was made while the store
+	// is down becomes active when the store is up again.
 	It("reports that nothing was changed while the store is down", func() {
 		d.run("defaults", "set", "role_change_cost=5")
 		d.store.SetFaults(objectstore.Faults{Unavailable: true})
--- a/internal/direct/conn.go
+++ b/internal/direct/conn.go
@@ -35,7 +35,8 @@
 	// the server keeps the connection open, 0 if it did not state that.
 	idleSince   time.Time
 	idleTimeout time.Duration
-	reused      bool
+	// reused is set once the connection has been returned to the pool.
+	reused bool
 }
 
 var dialer = net.Dialer{
--- a/internal/direct/direct.go
+++ b/internal/direct/direct.go
@@ -194,10 +194,10 @@
 		if err != nil {
 			return nil, x.failRead(err)
 		}
-		a := x.transport.codec.ParseResponse(resp.StatusCode, resp.Header)
-		if a.RequestID == x.request.ID || (a.RequestID == "" && a.NotRun && !x.sawStale) {
-			x.transport.OnResponse(ResponseInfo{ResponseHead: a, Server: x.options.Server, Stage: x.options.Stage, Sent: x.sent})
-			return x.reply(resp, a), nil
+		head := x.transport.codec.ParseResponse(resp.StatusCode, resp.Header)
+		if head.RequestID == x.request.ID || (head.RequestID == "" && head.NotRun && !x.sawStale) {
+			x.transport.OnResponse(ResponseInfo{ResponseHead: head, Server: x.options.Server, Stage: x.options.Stage, Sent: x.sent})
+			return x.reply(resp, head), nil
 		}
 		x.sawStale = true
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil || resp.Close {
@@ -222,10 +222,10 @@
 
 // reply returns the Reply for a response head and decides whether the connection
 // may be reused.
-func (x *exchange) reply(resp *http.Response, a request.ResponseHead) *Reply {
+func (x *exchange) reply(resp *http.Response, head request.ResponseHead) *Reply {
 	x.reusable = !resp.Close && !x.sawStale && resp.ContentLength >= -1 && !endsWithConnection(resp)
-	x.conn.idleTimeout = a.IdleTimeout
-	return &Reply{ResponseHead: a, Length: resp.ContentLength, Body: &replyBody{ReadCloser: resp.Body, exchange: x}}
+	x.conn.idleTimeout = head.IdleTimeout
+	return &Reply{ResponseHead: head, Length: resp.ContentLength, Body: &replyBody{ReadCloser: resp.Body, exchange: x}}
 }
 
 // endsWithConnection reports whether the response's body is delimited only by the
--- a/internal/direct/direct_test.go
+++ b/internal/direct/direct_test.go
@@ -35,18 +35,18 @@
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(l.Close)
-	p := &testServer{address: l.Addr().String(), accepted: make(chan struct{}, 100)}
+	s := &testServer{address: l.Addr().String(), accepted: make(chan struct{}, 100)}
 	go func() {
 		for n := 1; ; n++ {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			p.accepted <- struct{}{}
+			s.accepted <- struct{}{}
 			go serve(n, c)
 		}
 	}()
-	return p
+	return s
 }
 
 // respond reads one request and writes text, with "ID" replaced by the request's ID.
@@ -92,11 +92,11 @@
 	BeforeEach(func() { t = direct.New(platform.Codec{}) })
 
 	It("reuses a connection for the next request", func() {
-		p := newTestServer(respondToAll(completeResponse))
+		s := newTestServer(respondToAll(completeResponse))
 		for _, id := range []string{"a", "b", "c"} {
-			Expect(send(t, p.address, id, nil)).To(Equal("hello"))
+			Expect(send(t, s.address, id, nil)).To(Equal("hello"))
 		}
-		Expect(p.accepted).To(HaveLen(1))
+		Expect(s.accepted).To(HaveLen(1))
 	})
 
 	// Guards against a verdict that forbids a retry although nothing can have run: no
@@ -112,11 +112,11 @@
 	// Guards against a wrong promise that a request has not run: the server reads a
 	// request, may have placed the hold, and its connection ends.
 	It("returns may have run when the connection ends after the request was written", func() {
-		p := newTestServer(func(_ int, c net.Conn) {
+		s := newTestServer(func(_ int, c net.Conn) {
 			_, _ = http.ReadRequest(bufio.NewReader(c))
 			c.Close()
 		})
-		_, err := send(t, p.address, "a", nil)
+		_, err := send(t, s.address, "a", nil)
 		Expect(verdict.Of(err).Verdict).To(Equal(verdict.MayHaveRun))
 	})
 
@@ -124,7 +124,7 @@
 	// closes an idle connection just before the next request is written to it.
 	It("does not reuse a connection that the server has closed", func() {
 		closed := make(chan struct{})
-		p := newTestServer(func(n int, c net.Conn) {
+		s := newTestServer(func(n int, c net.Conn) {
 			if n > 1 {
 				respondToAll(completeResponse)(n, c)
 				return
@@ -133,41 +133,41 @@
 			c.Close()
 			close(closed)
 		})
-		Expect(send(t, p.address, "a", nil)).To(Equal("hello"))
+		Expect(send(t, s.address, "a", nil)).To(Equal("hello"))
 		<-closed
-		Eventually(func() (string, error) { return send(t, p.address, "b", nil) }).Should(Equal("hello"))
+		Eventually(func() (string, error) { return send(t, s.address, "b", nil) }).Should(Equal("hello"))
 	})
 
 	// Guards against returning a late response to an earlier request.
 	It("skips a response to another request", func() {
-		p := newTestServer(respondToAll("HTTP/1.1 200 OK\r\nRequest-Id: other\r\nResponse-Seal: s\r\nContent-Length: 3\r\n\r\nbad" + completeResponse))
-		Expect(send(t, p.address, "a", nil)).To(Equal("hello"))
-		Expect(send(t, p.address, "b", nil)).To(Equal("hello"))
-		Expect(p.accepted).To(HaveLen(2))
+		s := newTestServer(respondToAll("HTTP/1.1 200 OK\r\nRequest-Id: other\r\nResponse-Seal: s\r\nContent-Length: 3\r\n\r\nbad" + completeResponse))
+		Expect(send(t, s.address, "a", nil)).To(Equal("hello"))
+		Expect(send(t, s.address, "b", nil)).To(Equal("hello"))
+		Expect(s.accepted).To(HaveLen(2))
 	})
 
 	It("detects a truncated response", func() {
-		p := newTestServer(func(_ int, c net.Conn) {
+		s := newTestServer(func(_ int, c net.Conn) {
 			_ = respond(c, bufio.NewReader(c), completeResponse[:len(completeResponse)-2])
 			c.Close()
 		})
-		_, err := send(t, p.address, "a", nil)
+		_, err := send(t, s.address, "a", nil)
 		Expect(err).To(MatchError(io.ErrUnexpectedEOF))
 	})
 
 	It("accepts a response without length that the end of the connection delimits", func() {
-		p := newTestServer(func(_ int, c net.Conn) {
+		s := newTestServer(func(_ int, c net.Conn) {
 			_ = respond(c, bufio.NewReader(c), "HTTP/1.1 200 OK\r\nRequest-Id: ID\r\nResponse-Seal: s\r\n\r\nhello")
 			c.Close()
 		})
-		Expect(send(t, p.address, "a", nil)).To(Equal("hello"))
+		Expect(send(t, s.address, "a", nil)).To(Equal("hello"))
 	})
 
 	// Guards against a request that the server takes for the rest of an earlier body: the
 	// server responds to a long request before it has read the body, and the connection
 	// is reused. The process once crashed in this case.
 	It("closes a connection on which a body is still being written", func() {
-		p := newTestServer(func(_ int, c net.Conn) {
+		s := newTestServer(func(_ int, c net.Conn) {
 			defer c.Close()
 			r := bufio.NewReader(c)
 			req, err := http.ReadRequest(r)
@@ -181,8 +181,8 @@
 		})
 		long := make([]byte, 16<<20)
 		for _, id := range []string{"a", "b", "c"} {
-			Expect(send(t, p.address, id, long)).To(Equal("hello"))
+			Expect(send(t, s.address, id, long)).To(Equal("hello"))
 		}
-		Expect(p.accepted).To(HaveLen(3))
+		Expect(s.accepted).To(HaveLen(3))
 	})
 })
--- a/internal/directory/announced_test.go
+++ b/internal/directory/announced_test.go
@@ -54,7 +54,7 @@
 	return listing(h.revision, object("main", h.revision, "1")), nil
 }
 
-// Watch fails when ctx ends or the wait times out, like a call without a response.
+// Watch fails when ctx is done or the wait times out, like a call without a response.
 func (h *withholdingStore) Watch(ctx context.Context, _ string, _ int64, wait time.Duration) (store.Batch, error) {
 	h.mu.Lock()
 	compacted := h.compacted
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -90,7 +90,7 @@
 // StoreUnreachable reports whether the last read of the store failed.
 func (d *Directory) StoreUnreachable() bool { return d.storeUnreachable.Load() }
 
-// FollowConfig keeps the configuration up to date until ctx ends.
+// FollowConfig keeps the configuration up to date until ctx is done.
 func (d *Directory) FollowConfig(ctx context.Context) error {
 	return d.follow(ctx, &follower{
 		kind:   d.kinds.Config,
@@ -107,7 +107,7 @@
 	})
 }
 
-// FollowServers keeps the servers up to date until ctx ends.
+// FollowServers keeps the servers up to date until ctx is done.
 func (d *Directory) FollowServers(ctx context.Context) error {
 	return d.follow(ctx, &follower{
 		kind:   d.kinds.Servers,
@@ -130,7 +130,7 @@
 }
 
 // Expire removes servers that are still missing when the grace period after an
-// outage is over. It runs until ctx ends.
+// outage is over. It runs until ctx is done.
 func (d *Directory) Expire(ctx context.Context) error {
 	return periodic.Run(ctx, expireInterval, func(now time.Time) {
 		d.locked(func() {
@@ -174,7 +174,7 @@
 func (d *Directory) applyServerList(now time.Time, l store.Listing) {
 	changed, errs := d.state.applyServerList(now, l)
 	for _, err := range errs {
-		log.WithField("error", err.Error()).Warn("server object is not valid")
+		log.WithField("error", err.Error()).Warn("server object is invalid, server not used")
 	}
 	d.publish(changed)
 }
@@ -182,7 +182,7 @@
 func (d *Directory) applyServerEvent(now time.Time, e store.Event) {
 	changed, err := d.state.applyServerEvent(now, e)
 	if err != nil {
-		log.WithField("error", err.Error()).Warn("server object is not valid")
+		log.WithField("error", err.Error()).Warn("server object is invalid, server not used")
 	}
 	if !changed {
 		return
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -142,8 +142,9 @@
 		Expect(names()).To(ConsistOf("b"))
 	})
 
-	// A gateway that starts during an outage of the store adopts the snapshot of a
-	// peer, which the store's first response replaces.
+	// Guards against rejecting all callers of a gateway that starts during an outage of
+	// the store although its peers serve. Once it has a configuration, only the store
+	// replaces it.
 	It("adopts a peer's snapshot only before it has a configuration", func() {
 		a := New(nil, plainDecoder{}, Kinds{Config: "config", ConfigName: "main", Servers: "servers"})
 		_, ok := a.Snapshot()
--- a/internal/directory/model_test.go
+++ b/internal/directory/model_test.go
@@ -23,12 +23,12 @@
 	written []time.Duration
 
 	watcher, follower *Directory
-	answers           []answer
+	responses         []listResponse
 	confirmations     []sentConfirmation
 }
 
-// answer is the store's response to a list that the gateway to sent at sent.
-type answer struct {
+// listResponse is the store's response to a list that gateway to sent at sent.
+type listResponse struct {
 	to      *Directory
 	sent    time.Duration
 	listing store.Listing
@@ -57,20 +57,20 @@
 // startList makes d list the store; the response is in flight.
 func (m *model) startList(d *Directory) {
 	o := store.Object{Name: "main", Revision: m.revision(), Spec: json.RawMessage(strconv.FormatInt(m.revision(), 10))}
-	m.answers = append(m.answers, answer{to: d, sent: m.now, listing: listing(m.revision(), o)})
+	m.responses = append(m.responses, listResponse{to: d, sent: m.now, listing: listing(m.revision(), o)})
 }
 
-// deliverAnswer delivers the first or the last response in flight.
-func (m *model) deliverAnswer(last bool) bool {
-	if len(m.answers) == 0 {
+// deliverResponse delivers the first or the last response in flight.
+func (m *model) deliverResponse(last bool) bool {
+	if len(m.responses) == 0 {
 		return false
 	}
-	var a answer
-	m.answers, a = take(m.answers, last)
-	a.to.locked(func() {
-		a.to.state.confirmConfig(at(a.sent))
-		a.to.state.confirmServers(at(a.sent))
-		a.to.applyConfigList(at(m.now), a.listing)
+	var r listResponse
+	m.responses, r = take(m.responses, last)
+	r.to.locked(func() {
+		r.to.state.confirmConfig(at(r.sent))
+		r.to.state.confirmServers(at(r.sent))
+		r.to.applyConfigList(at(m.now), r.listing)
 	})
 	return true
 }
@@ -111,8 +111,8 @@
 	func(m *model) bool { m.write(); return true },
 	func(m *model) bool { m.startList(m.watcher); return true },
 	func(m *model) bool { m.startList(m.follower); return true },
-	func(m *model) bool { return m.deliverAnswer(false) },
-	func(m *model) bool { return len(m.answers) > 1 && m.deliverAnswer(true) },
+	func(m *model) bool { return m.deliverResponse(false) },
+	func(m *model) bool { return len(m.responses) > 1 && m.deliverResponse(true) },
 	func(m *model) bool { return m.sendConfirmation() },
 	func(m *model) bool { return m.deliverConfirmation(false) },
 	func(m *model) bool { return len(m.confirmations) > 1 && m.deliverConfirmation(true) },
--- a/internal/directory/relay_test.go
+++ b/internal/directory/relay_test.go
@@ -110,10 +110,10 @@
 	c.revision = revision
 }
 
-func (c *countingStore) setWithholding(muted bool) {
+func (c *countingStore) setWithholding(withholding bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.withholding = muted
+	c.withholding = withholding
 }
 
 func (c *countingStore) setHanging(hanging bool) {
--- a/internal/directory/snapshot.go
+++ b/internal/directory/snapshot.go
@@ -40,7 +40,7 @@
 	d.applyConfig(s.Config)
 	for _, o := range s.Servers {
 		if _, err := d.state.applyServerEvent(now, store.Event{Object: o}); err != nil {
-			log.WithField("error", err.Error()).Warn("server object is not valid")
+			log.WithField("error", err.Error()).Warn("server object is invalid, server not used")
 		}
 	}
 	log.WithFields(log.Fields{"revision": s.Config.Revision, "servers": len(s.Servers)}).Info("snapshot of another gateway adopted")
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -25,7 +25,7 @@
 	// TableConfirmedAt and ServersConfirmedAt are when the store last confirmed that
 	// each was the newest, by the monotonic clock.
 	TableConfirmedAt, ServersConfirmedAt time.Time
-	// Servers are all servers with a valid object, by id.
+	// Servers are all servers with a valid object, by ID.
 	Servers map[string]backend.Server
 
 	byService map[string][]backend.Server
@@ -37,8 +37,8 @@
 // OutOfDate reports whether a newer configuration than Table is known to exist.
 func (v *View) OutOfDate() bool { return v.AnnouncedRevision > v.TableRevision }
 
-// Current reports whether no configuration that was stored longer than within ago
-// can be missing.
+// Current reports whether Table includes every change that the store confirmed more
+// than within before now.
 func (v *View) Current(now time.Time, within time.Duration) bool {
 	return !v.OutOfDate() && now.Sub(v.TableConfirmedAt) <= within
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -94,9 +94,9 @@
 }
 
 // excluded reports whether the request must not be sent to a server now: it was
-// rejected or failed there, or the server's announced limit leaves no room for it.
-// A request suspected of terminating servers is never sent to a server that
-// announces a limit, since that server is already under strain.
+// rejected or failed there, or the limit that the server states leaves no room for it.
+// A request suspected of terminating servers is never sent to a server that states a
+// limit, since that server is already under strain.
 func (c *call) excluded(server string) bool {
 	if c.excludedServers[server] {
 		return true
--- a/internal/gateway/dump.go
+++ b/internal/gateway/dump.go
@@ -28,15 +28,16 @@
 	InFlight int `json:"work"`
 	// Estimates is what has been learned of a model engine, absent for others.
 	Estimates *place.EngineEstimate `json:"belief,omitempty"`
-	// Limit is the limit that the server announces, absent if it announces none.
+	// Limit is the limit that the server states, absent if it states none.
 	Limit *LimitDump `json:"limit,omitempty"`
 }
 
-// LimitDump is the limit that a server announces.
+// LimitDump is the limit that a server states.
 type LimitDump struct {
-	// PerSecond is the number of requests a second from all gateways together.
+	// PerSecond is how many requests a second the server accepts from all gateways
+	// together.
 	PerSecond float64 `json:"per_second"`
-	// Share is how many of these this gateway may send, 0 for none.
+	// Share is how many of these this gateway may send, 0 if none.
 	Share float64 `json:"part"`
 }
 
--- a/internal/gateway/engines.go
+++ b/internal/gateway/engines.go
@@ -31,12 +31,12 @@
 	// request, or that the request completed; ReannounceTermination repeats that to some.
 	AnnounceTermination(e quarantine.Evidence)
 	ReannounceTermination(e quarantine.Evidence)
-	// AnnounceServerLimit announces to all gateways the limit that a server announced, or
+	// AnnounceServerLimit announces to all gateways the limit that a server stated, or
 	// that it has none; ReannounceServerLimit repeats that to some.
 	AnnounceServerLimit(n ratelimit.Notice)
 	ReannounceServerLimit(n ratelimit.Notice)
 	// RankFor returns the rank of this gateway for a server in a round. The ranks
-	// decide which gateways may send requests to a server that announces a limit.
+	// decide which gateways may send requests to a server that states a limit.
 	RankFor(server string, round uint64) ratelimit.Rank
 	// MembershipVersion returns a value that changes whenever ranks may have changed.
 	MembershipVersion() uint64
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -16,8 +16,8 @@
 	"pistachioroad.dev/pistachioroad/internal/request"
 )
 
-// Dialect encodes and decodes the HTTP headers and bodies that callers and
-// backend servers use.
+// Codec encodes and decodes the HTTP headers and bodies that callers and backend
+// servers use.
 type Codec interface {
 	direct.Codec
 	// ParseRequest parses the head of a caller's request.
@@ -100,8 +100,8 @@
 	g.directory.RemoteConfirmation(now, c)
 }
 
-// RemoteServerChange forwards a change of one server's store entry, received from
-// another gateway, to the directory.
+// RemoteServerChange forwards a change of a server object, received from another
+// gateway, to the directory.
 func (g *Gateway) RemoteServerChange(now time.Time, c directory.ServerChange) {
 	g.directory.RemoteServerChange(now, c)
 }
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	// defaultRetryAfter is the Retry-After of rejections that name no other, such
-	// as while the configuration, or whether a route exists, is unknown.
+	// defaultRetryAfter is the Retry-After of rejections without a better estimate,
+	// for example while the configuration is missing or may be outdated.
 	defaultRetryAfter = 300 * time.Millisecond
 	// maxUnconfiguredRetryAfter is the upper limit of Retry-After while no gateway
 	// can reach the store.
@@ -65,7 +65,7 @@
 type call struct {
 	gateway *Gateway
 	writer  http.ResponseWriter
-	// ctx is done at the deadline, callerCtx when the caller disconnects.
+	// callerCtx is done when the caller disconnects, ctx also at the deadline.
 	ctx, callerCtx context.Context
 
 	id                string
@@ -78,8 +78,8 @@
 	reservedBodyBytes int64
 	// cachedFingerprint is the request's fingerprint, 0 until it is first needed.
 	cachedFingerprint request.Fingerprint
-	// quarantineStatus is the last known state of server terminations while the
-	// request ran.
+	// quarantineStatus is the result of the last quarantine check. It lists the
+	// servers that terminated while they ran the request.
 	quarantineStatus quarantine.Status
 	// lastSentAt is when the request was last sent to a server.
 	lastSentAt time.Time
@@ -101,7 +101,7 @@
 	priority int
 	// excludedServers are not tried again for this request.
 	excludedServers map[string]bool
-	// limitedBy are the servers that were skipped because of the limits they announce.
+	// limitedBy are the servers that were skipped because of the limits they state.
 	limitedBy map[string]bool
 
 	trace trace
--- a/internal/gateway/process/bootstrap.go
+++ b/internal/gateway/process/bootstrap.go
@@ -18,13 +18,14 @@
 const (
 	bootstrapPath = "/knowledge"
 	// bootstrapDelay is how long a new process waits for the store before it asks its
-	// peers, and bootstrapInterval how often it asks while neither responds.
+	// peers, and bootstrapInterval how often it asks while neither they nor the store
+	// respond.
 	bootstrapDelay    = 400 * time.Millisecond
 	bootstrapInterval = 300 * time.Millisecond
 	// bootstrapTimeout limits one request to a peer.
 	bootstrapTimeout = 400 * time.Millisecond
 	// maxBootstrapBytes limits a response. It has room for the store's largest value
-	// and the entries of a thousand servers.
+	// and the objects of a thousand servers.
 	maxBootstrapBytes = 4 << 20
 )
 
--- a/internal/gateway/process/learned.go
+++ b/internal/gateway/process/learned.go
@@ -51,14 +51,14 @@
 func (s *saver) save(ctx context.Context, services map[string]place.Snapshot) error {
 	value, err := json.Marshal(learnedState{Services: services})
 	if err != nil {
-		return eris.Wrap(err, "encode")
+		return eris.Wrap(err, "encode learned state")
 	}
 	if len(value) > maxLearnedBytes {
 		return errLearnedTooLarge
 	}
 	o, err := s.write(ctx, value)
 	if err != nil {
-		// The object is read before the next write.
+		// The revision may have changed, so the next write reads the object first.
 		s.revision = 0
 		return err
 	}
@@ -66,7 +66,8 @@
 	return nil
 }
 
-// write creates the object or updates it if it still has the last known revision.
+// write creates the object, or updates it if it still has the last known revision. If
+// that is unknown, it reads the object first.
 func (s *saver) write(ctx context.Context, value json.RawMessage) (store.Object, error) {
 	if s.revision > 0 {
 		return s.store.Update(ctx, learnedKind, learnedName, s.revision, value)
@@ -133,10 +134,10 @@
 	if err == nil {
 		err = g.RestoreLearnedState(l.Services)
 	}
-	entry := log.WithField("object", o.Name).WithField("revision", o.Revision).WithField("services", len(l.Services))
+	line := log.WithField("object", o.Name).WithField("revision", o.Revision).WithField("services", len(l.Services))
 	if err != nil {
-		entry.WithField("error", err.Error()).Warn("restored learned engine state only in part")
+		line.WithField("error", err.Error()).Warn("restored learned engine state only in part")
 		return
 	}
-	entry.Info("restored learned engine state")
+	line.Info("restored learned engine state")
 }
--- a/internal/gateway/process/process.go
+++ b/internal/gateway/process/process.go
@@ -52,12 +52,12 @@
 	log.WithFields(log.Fields{
 		"data_centre": d.DataCentre, "callers": d.CallerAddress, "store": d.StoreAddress, "memory_bytes": d.MaxMemoryBytes,
 	}).Info("started")
-	dialect := platform.Codec{}
+	codec := platform.Codec{}
 	storeClient := platform.NewStore(d.StoreAddress)
-	dir := directory.New(storeClient, dialect, platform.ObjectKinds)
+	dir := directory.New(storeClient, codec, platform.ObjectKinds)
 	g := gateway.New(gateway.Config{
 		Deployment: d,
-		Codec:      dialect,
+		Codec:      codec,
 		Directory:  dir,
 	})
 	dir.OnChange = g.ViewChanged
@@ -149,7 +149,7 @@
 	return periodic.Run(ctx, reannounceInterval, p.gateway.ReannounceTerminations)
 }
 
-// reannounceServerLimits does the same for the limits that servers announce.
+// reannounceServerLimits does the same for the limits that servers state.
 func (p *components) reannounceServerLimits(ctx context.Context) error {
 	return periodic.Run(ctx, reannounceInterval, p.gateway.ReannounceServerLimits)
 }
@@ -179,8 +179,8 @@
 // contents from placements.
 const maxCacheQueries = 64
 
-// queryCaches queries the cache contents of some engines, other than those that
-// announce a limit.
+// queryCaches queries the cache contents of some engines, other than those that state
+// a limit.
 func (p *components) queryCaches(ctx context.Context) {
 	client := platform.NewEngineClient()
 	for _, s := range randomEngines(p.directory.View().Servers, maxCacheQueries) {
--- a/internal/gateway/respond.go
+++ b/internal/gateway/respond.go
@@ -31,7 +31,7 @@
 	message   string
 	server    string
 	firstByte time.Duration
-	// plan is the last placement of the prompt, prefill how long its prefill took.
+	// plan is the last plan for the prompt, prefill how long its prefill took.
 	plan    place.Plan
 	prefill time.Duration
 	// bySize is set if the prompt was admitted because too few prompts of its
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -27,8 +27,7 @@
 	idleTimeoutFactor = 1.5
 	// idleSweepInterval is the interval between checks for expired idle connections.
 	idleSweepInterval = 500 * time.Millisecond
-	// headerTimeout limits how long reading a request's head may take. It applies
-	// before a configuration is known.
+	// headerTimeout limits how long reading a request's head may take.
 	headerTimeout = 10 * time.Second
 	// maxHeaderBytes limits the size of a request's head.
 	maxHeaderBytes = 64 << 10
--- a/internal/gateway/server_limit_cluster_test.go
+++ b/internal/gateway/server_limit_cluster_test.go
@@ -86,7 +86,7 @@
 	wait.Wait()
 }
 
-// Guards against gateways that ignore a server's announced limit, or that each use
+// Guards against gateways that ignore the limit that a server states, or that each use
 // all of it.
 func TestServerLimitHoldsForAllGatewaysTogether(t *testing.T) {
 	const perSecond = 1.0
--- a/internal/gateway/server_limits.go
+++ b/internal/gateway/server_limits.go
@@ -21,7 +21,7 @@
 // invalidLogInterval is the minimum time between log lines on invalid limits.
 const invalidLogInterval = 10 * time.Second
 
-// serverLimits tracks the request rate limits that servers announce in their
+// serverLimits tracks the request rate limits that servers state in their
 // responses. All gateways together keep to the limit of a server.
 type serverLimits struct {
 	// limitedServers is the size of table. While it is 0, requests skip the lock.
@@ -35,7 +35,7 @@
 	// invalidAt is when an invalid limit was last logged.
 	invalidAt time.Time
 
-	// named counts servers that began to announce a limit, invalid the limits that
+	// named counts servers that began to state a limit, invalid the limits that
 	// could not be parsed, and unknown the notices of unknown servers.
 	named, invalid, unknown metrics.Counter
 	limited                 metrics.Gauge
@@ -85,8 +85,8 @@
 	return info.Sealed || info.NotRun || info.Stage == request.PrefillOnly
 }
 
-// addNotice adds a notice to the table and logs the change. The gateway that
-// announced the notice is from, or "" if it is from a response to this gateway.
+// addNotice adds a notice to the table and logs the change. from is the gateway that
+// announced it, "" for a notice from a response to this gateway.
 func (l *serverLimits) addNotice(now time.Duration, from string, n ratelimit.Notice) ratelimit.Change {
 	before, _ := l.table.Limit(n.Server.ID)
 	change := l.table.Add(now, n)
@@ -119,7 +119,7 @@
 	return !l.table.Tracks(server) || l.table.Allows(boottime.Now(), server)
 }
 
-// has reports whether a server announces a limit.
+// has reports whether a server states a limit.
 func (l *serverLimits) has(server string) bool {
 	if l.limitedServers.Load() == 0 {
 		return false
@@ -150,7 +150,7 @@
 	return slices.Min(lo.Map(servers, func(id string, _ int) time.Duration { return l.table.RetryAfter(now, id) }))
 }
 
-// HasServerLimit reports whether a server announces a limit.
+// HasServerLimit reports whether a server states a limit.
 func (g *Gateway) HasServerLimit(server string) bool { return g.limits.has(server) }
 
 // RemoteServerLimit adds a limit notice that another gateway announced. Notices of
@@ -218,7 +218,7 @@
 	log.WithField("server", info.Server.ID).WithField("limit", info.Limit.Invalid).Warn("invalid server limit, the last known one stays")
 }
 
-// dump returns a server's limit for operators, or nil if it announces none.
+// dump returns a server's limit for operators, or nil if it states none.
 func (l *serverLimits) dump(server string) *LimitDump {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/gateway/server_limits_test.go
+++ b/internal/gateway/server_limits_test.go
@@ -21,7 +21,7 @@
 	return s.Limit
 }
 
-var _ = Describe("the limit that a server announces", func() {
+var _ = Describe("the limit that a server states", func() {
 	var f *fixture
 	BeforeEach(func() {
 		f = newFixture()
--- a/internal/gateway/stream_sampler_test.go
+++ b/internal/gateway/stream_sampler_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// Guards against sampling each of a thousand events a second of one engine, which
-// would occupy the processor of a small VM.
+// Guards against sampling each of a thousand events a second of one engine. On a small
+// VM, that would take CPU time away from callers' requests.
 func TestFastStreamsAreSampled(t *testing.T) {
 	samples := 0
 	s := &streamSampler{onFirst: func() {}, onInterval: func(time.Duration) { samples++ }}
--- a/internal/gateway/terminations.go
+++ b/internal/gateway/terminations.go
@@ -24,7 +24,7 @@
 	// probeTimeout limits the connection attempt that probes a server.
 	probeTimeout = 500 * time.Millisecond
 	// terminationWatchTime is how long a server is watched for termination after a
-	// connection to it broke. The store entry of a crashed server expires after some
+	// connection to it broke. The object of a crashed server expires after some
 	// missed heartbeats.
 	terminationWatchTime = 6 * time.Second
 	// probeInterval is the pause between two probes of a server.
@@ -204,8 +204,8 @@
 	g.terminations.resolve(s, at, false)
 }
 
-// probeInstance checks whether an instance is there: by its store entry, by whether
-// another server has its address, and by a connection.
+// probeInstance checks whether an instance is there: by its object in the
+// store, by whether another server has its address, and by a connection.
 func (g *Gateway) probeInstance(s backend.Server) direct.Presence {
 	v := g.directory.View()
 	if current, ok := v.Servers[s.ID]; !ok || current.Incarnation != s.Incarnation || addressTaken(v, s) {
--- a/internal/link/coalesce.go
+++ b/internal/link/coalesce.go
@@ -53,8 +53,7 @@
 	return max(0, n-held), err
 }
 
-// hasBody reports whether p is the header of a frame whose body is written
-// next.
+// hasBody reports whether p is the header of a frame whose body is written next.
 func hasBody(p []byte) bool {
 	return len(p) == headerSize && p[typeAt] == typeData && binary.BigEndian.Uint32(p[lengthAt:]) > 0
 }
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -63,7 +63,7 @@
 	return &Session{mux: mux}, nil
 }
 
-// Open opens a stream. Its first frame must tell the other end its purpose.
+// Open opens a stream. Its first frame must state its purpose to the other end.
 func (s *Session) Open() (*wire.Conn, error) {
 	stream, err := s.mux.OpenStream()
 	if err != nil {
--- a/internal/peers/delay.go
+++ b/internal/peers/delay.go
@@ -36,15 +36,15 @@
 // by this VM's clock. It returns 0 for the first datagram of a start.
 func (d *delayEstimator) estimate(start uint64, sent, now time.Duration) time.Duration {
 	offset := now - sent
-	t, ok := d.senders[start]
+	c, ok := d.senders[start]
 	if !ok {
 		d.evictOldest()
-		t = &senderClock{minOffset: offset}
-		d.senders[start] = t
+		c = &senderClock{minOffset: offset}
+		d.senders[start] = c
 	}
-	t.lastReceived = now
-	t.minOffset = min(t.minOffset, offset)
-	return offset - t.minOffset
+	c.lastReceived = now
+	c.minOffset = min(c.minOffset, offset)
+	return offset - c.minOffset
 }
 
 // evictOldest drops the least recently received sender if there are maxSenders.
@@ -54,9 +54,9 @@
 	}
 	var oldest uint64
 	var received time.Duration
-	for start, t := range d.senders {
-		if oldest == 0 || t.lastReceived < received {
-			oldest, received = start, t.lastReceived
+	for start, c := range d.senders {
+		if oldest == 0 || c.lastReceived < received {
+			oldest, received = start, c.lastReceived
 		}
 	}
 	delete(d.senders, oldest)
--- a/internal/peers/outbox.go
+++ b/internal/peers/outbox.go
@@ -76,7 +76,8 @@
 	return lo.PickByKeys(p.others, names)
 }
 
-// enqueue adds a message to the next datagram to an audience, which is sent within a time.
+// enqueue adds a message to the next datagram to an audience, which is sent at the latest
+// after within.
 func (p *Peers) enqueue(to audience, within time.Duration, size int, add func(*wire.Share)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -63,7 +63,7 @@
 	RemoteAvoid(service, engine string, d time.Duration)
 	RemoteTermination(e quarantine.Evidence)
 	// RemoteServerLimit handles the limit that a server stated to another gateway. from is
-	// the start id of the gateway that announced it.
+	// the start ID of the gateway that announced it.
 	RemoteServerLimit(from string, n ratelimit.Notice)
 	RemoteConfirmation(now time.Time, c directory.Confirmation)
 	RemoteServerChange(now time.Time, c directory.ServerChange)
@@ -97,7 +97,7 @@
 type Config struct {
 	// Name is the name of this VM.
 	Name string
-	// StartID is a random id of this start of the process.
+	// StartID is a random ID of this start of the process.
 	StartID uint64
 	// Address is the IP:PORT on which to receive datagrams.
 	Address string
@@ -217,7 +217,7 @@
 	p.enqueue(ownGroup, flushDelay, proto.Size(m), func(s *wire.Share) { s.Placed = append(s.Placed, m) })
 }
 
-// jobIDBytes is the size of a job id in a datagram.
+// jobIDBytes is the size of a job ID in a datagram.
 const jobIDBytes = 4
 
 // AnnouncePrefillDone implements gateway.Gossip.
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -43,15 +43,15 @@
 	Kind   Kind
 	// Timeout is the upper limit of a caller's timeout.
 	Timeout time.Duration
-	// Objective is the latency objective: the time to the first event of a stream, or
-	// to the complete response, within which a response has its full value.
+	// LatencyObjective is the time to the first event of a stream, or to the complete
+	// response, within which a response has its full value.
 	LatencyObjective time.Duration
 	// InterEventObjective is the longest time between two events of a stream that is
 	// on time, 0 if unknown.
 	InterEventObjective time.Duration
 	// Priority is the priority of the route's requests; 0 is the most urgent.
 	Priority int
-	// Attempts is the maximum number of backend servers that may run one request.
+	// MaxAttempts is the maximum number of backend servers that may run one request.
 	MaxAttempts int
 	// Targets are the services among which requests are distributed.
 	Targets []Target
