--- a/internal/claims/random_test.go
+++ b/internal/claims/random_test.go
@@ -32,10 +32,10 @@
 	kills   int
 }
 
-// Guards against a key running twice while sidecars are killed and paused, the
-// slot moves, replies get lost and updates take effect late, in any combination.
-// world.run panics if a key runs twice, world.answered if a replayed result is
-// that of another call.
+// Guards against a caller's call running twice, or being answered with the result
+// of another, while sidecars are killed and paused, the slot moves, replies get
+// lost and updates take effect late, in any combination. world.run panics if a key
+// runs twice, world.answered if a replayed result is that of another call.
 func TestEachKeyRunsAtMostOnce(t *testing.T) {
 	invariant.PanicOnViolation()
 	total := &chaos{world: newWorld(0), kinds: map[claims.Kind]int{}}
--- a/internal/claims/slot_test.go
+++ b/internal/claims/slot_test.go
@@ -201,9 +201,9 @@
 		w.advance(time.Second)
 		w.assignTo(2, b)
 		w.advance(time.Second)
-		refused := w.request(a, "k2", 1)
+		rejected := w.request(a, "k2", 1)
 		w.advance(time.Second)
-		Expect(kind(refused)).To(Equal("not owner"))
+		Expect(kind(rejected)).To(Equal("not owner"))
 		Expect(b.slot.Owned()).To(BeFalse())
 		w.advance(5 * time.Second)
 		Expect(a.slot.Idle()).To(BeTrue())
@@ -335,15 +335,15 @@
 })
 
 // faultSequence returns the given faults in order, then noFault.
-func faultSequence(fates ...fault) func() fault { return faultSequenceThen(noFault, fates...) }
+func faultSequence(faults ...fault) func() fault { return faultSequenceThen(noFault, faults...) }
 
-func faultSequenceThen(rest fault, fates ...fault) func() fault {
+func faultSequenceThen(rest fault, faults ...fault) func() fault {
 	return func() fault {
-		if len(fates) == 0 {
+		if len(faults) == 0 {
 			return rest
 		}
-		next := fates[0]
-		fates = fates[1:]
+		next := faults[0]
+		faults = faults[1:]
 		return next
 	}
 }
--- a/internal/orders/event.go
+++ b/internal/orders/event.go
@@ -10,7 +10,7 @@
 // Event is an input of an Executor.
 type Event interface{ isEvent() }
 
-// RowReceived reports the engine's row in the latest plan version held.
+// RowReceived reports the engine's row in the latest plan that the sidecar holds.
 type RowReceived struct{ Row plan.Engine }
 
 // StateRead is the result of a ReadState. Asked is when the read was sent.
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -56,7 +56,8 @@
 	running           int
 	admits            bool
 
-	// readDelay is the delay of the results of the next reads.
+	// readsInFlight are results that have not arrived yet; readDelay is the delay of
+	// the result of the next read.
 	readsInFlight []inFlightRead
 	readDelay     time.Duration
 	// orderDelay and orderAnswer are the delay and the result of the next order.
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -15,9 +15,9 @@
 	// WriteID is random for each write. With it, a writer whose reply was lost
 	// can tell whether the write was applied.
 	WriteID string `json:"write_id"`
-	// GenerationFloor is at least the highest generation of any removed row. New rows start
-	// above it, so that generations also rise for a backend server that left and
-	// rejoined.
+	// GenerationFloor is at least the highest generation of any removed row. New
+	// rows start above it, so that generations also rise for a backend server that
+	// left and rejoined.
 	GenerationFloor uint64 `json:"floor,omitempty"`
 	// Engines is keyed by the name of the backend server.
 	Engines map[string]Engine `json:"engines"`
--- a/internal/planner/duty.go
+++ b/internal/planner/duty.go
@@ -23,7 +23,8 @@
 	storeTimeout = 2 * time.Second
 )
 
-// Source provides the input of the duty and distributes the objects that it wrote.
+// Source provides the input of the duty and distributes the objects that it has
+// read or written.
 type Source interface {
 	// View returns the current view of the fleet. Its Plan is ignored: the duty
 	// plans on the version of the object that it updates.
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -113,8 +113,8 @@
 	engines map[string]sharedstate.VM
 }
 
-func (p *proposal) addChange(subject, decision, why string) {
-	p.changes = append(p.changes, Change{Subject: subject, Decision: decision, Reason: why})
+func (p *proposal) addChange(subject, decision, reason string) {
+	p.changes = append(p.changes, Change{Subject: subject, Decision: decision, Reason: reason})
 }
 
 // setRow replaces a row and increments its generation.
--- a/internal/reconcile/reconcile.go
+++ b/internal/reconcile/reconcile.go
@@ -1,4 +1,4 @@
-// Package reconcile keeps the engines in their planned roles.
+// Package reconcile keeps the engines in the roles that package roles decides.
 //
 // Any gateway may send orders, but only one at a time: the one that holds the
 // lease. An order carries the engine's instance ID, the number of orders that the
@@ -86,8 +86,8 @@
 	Lease              Leaser
 }
 
-// Reconciler keeps engines in their planned roles. It is not safe for concurrent
-// use.
+// Reconciler orders the role changes that package roles decides. It is not safe
+// for concurrent use.
 type Reconciler struct {
 	config Config
 	// neededSince is since when changes have been needed without interruption; zero
--- a/internal/request/fingerprint_test.go
+++ b/internal/request/fingerprint_test.go
@@ -7,7 +7,8 @@
 )
 
 // Guards against counting one caller's retries from several addresses as different
-// requests, and against counting GETs of one target by many callers as one request.
+// requests, so that a query of death is not quarantined, and against counting GETs of
+// one target by many callers as one request, so that they are quarantined together.
 func TestFingerprintIncludesCallerWithoutBody(t *testing.T) {
 	post := request.Request{Method: "POST", Target: "/a", Caller: "10.0.0.1", Body: []byte("x")}
 	get := request.Request{Method: "GET", Target: "/a", Caller: "10.0.0.1"}
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -40,8 +40,8 @@
 	Model string
 	// Tokens is the length of the prompt, MaxOutputTokens the limit on output tokens.
 	Tokens, MaxOutputTokens int
-	// ExpectedOutputTokens is the number of output tokens that the caller expects; 0 if unknown.
-	// Such estimates are often far off.
+	// ExpectedOutputTokens is the number of output tokens that the caller expects; 0
+	// if unknown. Such estimates are often far off.
 	ExpectedOutputTokens int
 	// DeliveredEvents is the number of events of the answer that the caller already has.
 	DeliveredEvents int
--- a/internal/sidecar/duties_test.go
+++ b/internal/sidecar/duties_test.go
@@ -199,8 +199,8 @@
 		Expect(d.executor.Phase()).To(Equal(orders.Ordering))
 	})
 
-	// Guards against using the built-in drain timeout of half a minute when
-	// operators gave long generations an hour.
+	// Guards against aborting long generations after the built-in drain timeout of
+	// half a minute when the engine changes, although operators gave them an hour.
 	It("uses the drain timeout that operators set", func() {
 		d := newTestOrders(time.Now())
 		d.handle(context.Background(), orders.DrainTimeoutSet{Timeout: time.Hour})
--- a/internal/sidecar/links.go
+++ b/internal/sidecar/links.go
@@ -75,7 +75,7 @@
 		case ctx.Err() != nil:
 			return ctx.Err()
 		case errors.Is(err, net.ErrClosed):
-			return eris.Wrap(err, "accept")
+			return eris.Wrap(err, "accept link connections")
 		case err != nil:
 			// For example, too many open files. Without a backoff the loop
 			// would use a core that the backend server needs.
--- a/internal/sidecar/requests/admit.go
+++ b/internal/sidecar/requests/admit.go
@@ -24,8 +24,8 @@
 		return
 	}
 	if t.ledger.mayHaveForgotten(now, e.Age) {
-		// Forgotten records are older than the maximum frame age, so a copy of
-		// this frame cannot start later and needs no record.
+		// The frame is older than a removed record, and so older than the
+		// maximum frame age: a copy of it cannot start later and needs no record.
 		t.rejectStart(e, verdict.New(verdict.MayHaveRun, verdict.CodeOutcomeUnknown, "the request may have run and been forgotten"))
 		return
 	}
--- a/internal/sidecar/requests/effect.go
+++ b/internal/sidecar/requests/effect.go
@@ -18,20 +18,20 @@
 		Last   bool
 	}
 
-	// Run starts a run, which reports its chunks and then, once, that it
-	// finished. The owner must check the deadline again at the moment of the
-	// call and finish with NotRun when it has passed.
+	// Run starts a run, which is followed by its ChunkReceived events and exactly
+	// one RunFinished. The owner must check the deadline again at the moment of
+	// the call and finish with NotRun when it has passed.
 	Run struct {
 		Run      RunID
 		Start    *wire.Start
 		Deadline time.Time
 	}
 
-	// CancelRun cancels a run, which still reports that it finished.
+	// CancelRun cancels a run. Its RunFinished event still follows.
 	CancelRun struct{ Run RunID }
 
-	// Claim claims the idempotency key of a call. The call does not run before
-	// the claim is granted.
+	// Claim claims the idempotency key of a call; ClaimDecided is its result. The
+	// call does not run before the claim is granted.
 	Claim struct {
 		Claim ClaimID
 		// Request is the request id.
--- a/internal/sidecar/requests/random_test.go
+++ b/internal/sidecar/requests/random_test.go
@@ -27,8 +27,8 @@
 
 // TestRandomFaults combines duplicated, late and reordered frames, paused
 // processes, failing links and engines, cancellations and Resolves at random.
-// Guards against a call that runs after it was reported as not run, a call that
-// runs twice, a truncated answer, and a stream without a last frame.
+// Guards callers against a call that runs after it was reported as not run, a call
+// that runs twice, a truncated answer passed on as complete, and no reply at all.
 func TestRandomFaults(t *testing.T) {
 	seen := map[string]int{}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -108,14 +108,14 @@
 	text    strings.Builder
 	digest  *wire.Digest
 	last    bool
-	gone    bool
+	closed  bool
 }
 
 type run struct {
-	request  *request
-	start    *wire.Start
-	position int
-	stopped  bool
+	request   *request
+	start     *wire.Start
+	position  int
+	cancelled bool
 }
 
 func newWorld(t *rapid.T, seen map[string]int) *world {
@@ -241,7 +241,7 @@
 
 func (w *world) loseLink(t *rapid.T) {
 	s := w.anyStream(t)
-	w.streams[s].gone = true
+	w.streams[s].closed = true
 	w.step(requests.StreamClosed{Stream: s})
 }
 
@@ -374,7 +374,7 @@
 	w.seen["recover"]++
 	next, effects := w.table.Recover(w.now)
 	w.table = next
-	w.take(effects)
+	w.perform(effects)
 }
 
 // skipMostly skips most of the faults that reject or detach all active requests:
@@ -390,9 +390,9 @@
 	w.step(requests.EngineReport{Load: engine.Load{KVBlocks: blocks}})
 }
 
-func (w *world) step(e requests.Event) { w.take(w.table.Step(w.now, e)) }
+func (w *world) step(e requests.Event) { w.perform(w.table.Step(w.now, e)) }
 
-func (w *world) take(effects []requests.Effect) {
+func (w *world) perform(effects []requests.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case requests.Send:
@@ -401,7 +401,7 @@
 			w.started(e)
 		case requests.CancelRun:
 			w.seen["stopped"]++
-			w.runs[e.Run].stopped = true
+			w.runs[e.Run].cancelled = true
 		case requests.Claim:
 			w.claims[e.Claim] = w.requestOfClaim(e.Key, e.Claim)
 		case requests.SettleClaim:
@@ -414,7 +414,8 @@
 	}
 }
 
-// requestOfClaim returns the request of a claim: the one whose frame was delivered last.
+// requestOfClaim returns the request of a claim: the one whose frame was delivered
+// last.
 func (w *world) requestOfClaim(string, requests.ClaimID) *request { return w.streams[w.next].request }
 
 // started checks a new run against the reference model and records it.
@@ -554,7 +555,7 @@
 		w.t.Fatalf("%d requests are still active", w.table.Active())
 	}
 	for number, s := range w.streams {
-		if !s.last && !s.gone {
+		if !s.last && !s.closed {
 			w.t.Fatalf("stream %d: request %s got no last frame", number, s.request.id)
 		}
 	}
--- a/internal/sidecar/requests/requests_test.go
+++ b/internal/sidecar/requests/requests_test.go
@@ -43,7 +43,7 @@
 		It("never starts although its record has expired", func() {
 			id := newID()
 			Expect(d.resolve(id).GetOutcome()).To(Equal(wire.Outcome_OUTCOME_NOT_RUN))
-			d.pass(time.Hour)
+			d.advance(time.Hour)
 			d.step(requests.Tick{})
 			delayed := requests.StartReceived{Stream: d.stream(), Start: call(id), Age: time.Hour}
 			d.step(delayed)
@@ -57,7 +57,7 @@
 			id := newID()
 			d.arrive(call(id))
 			d.finish(id)
-			d.pass(time.Hour)
+			d.advance(time.Hour)
 			d.step(requests.Tick{})
 			Expect(d.resolveAged(id, time.Hour).GetOutcome()).To(Equal(wire.Outcome_OUTCOME_MAY_HAVE_RUN))
 			Expect(d.resolve(id).GetOutcome()).To(Equal(wire.Outcome_OUTCOME_MAY_HAVE_RUN))
@@ -131,14 +131,14 @@
 			running, waiting := newID(), newID()
 			d.arrive(call(running))
 			stream := d.arrive(call(waiting))
-			d.pass(time.Hour)
+			d.advance(time.Hour)
 			d.finish(running)
 			Expect(d.started(waiting)).To(BeZero())
 			Expect(d.refusal(stream).GetVerdict()).To(Equal(wire.Verdict_VERDICT_NOT_RUN))
 		})
 
-		// Guards against counting the time budget of a buffered frame from its
-		// arrival instead of from when it was sent.
+		// Guards against starting a call after its caller's deadline: its frame was
+		// buffered, and its time budget is counted from the arrival.
 		It("includes the time that the frame was in transit", func() {
 			id := newID()
 			delayed := requests.StartReceived{Stream: d.stream(), Start: call(id), Age: 11 * time.Second}
@@ -152,10 +152,10 @@
 		It("answers a running call immediately and keeps its result", func() {
 			id := newID()
 			stream := d.arrive(call(id))
-			d.pass(11 * time.Second)
+			d.advance(11 * time.Second)
 			d.step(requests.Tick{})
 			Expect(d.refusal(stream).GetVerdict()).To(Equal(wire.Verdict_VERDICT_MAY_HAVE_RUN))
-			Expect(d.stopped(id)).To(BeFalse())
+			Expect(d.cancelled(id)).To(BeFalse())
 			d.finish(id)
 			Expect(d.resolve(id).GetOutcome()).To(Equal(wire.Outcome_OUTCOME_RAN))
 		})
@@ -178,7 +178,7 @@
 			id := newID()
 			stream := d.arrive(generation(id))
 			d.step(requests.CancelReceived{Stream: stream})
-			Expect(d.stopped(id)).To(BeTrue())
+			Expect(d.cancelled(id)).To(BeTrue())
 			Expect(d.refusal(stream).GetVerdict()).To(Equal(wire.Verdict_VERDICT_MAY_HAVE_RUN))
 		})
 
@@ -200,20 +200,20 @@
 		It("leaves a generation running for ResumeWait, then cancels it", func() {
 			id := newID()
 			d.step(requests.StreamClosed{Stream: d.arrive(generation(id))})
-			d.pass(2 * time.Second)
+			d.advance(2 * time.Second)
 			d.step(requests.Tick{})
-			Expect(d.stopped(id)).To(BeFalse())
-			d.pass(2 * time.Second)
+			Expect(d.cancelled(id)).To(BeFalse())
+			d.advance(2 * time.Second)
 			d.step(requests.Tick{})
-			Expect(d.stopped(id)).To(BeTrue())
+			Expect(d.cancelled(id)).To(BeTrue())
 		})
 
 		It("lets a call that may not be repeated run to completion", func() {
 			id := newID()
 			d.step(requests.StreamClosed{Stream: d.arrive(call(id))})
-			d.pass(time.Minute)
+			d.advance(time.Minute)
 			d.step(requests.Tick{})
-			Expect(d.stopped(id)).To(BeFalse())
+			Expect(d.cancelled(id)).To(BeFalse())
 		})
 	})
 
@@ -328,9 +328,9 @@
 			stream := d.arrive(generation(waiting))
 			d.step(requests.StopAdmitting{Code: verdict.CodeDraining, Reason: "drained"})
 			Expect(d.refusal(stream).GetVerdict()).To(Equal(wire.Verdict_VERDICT_NOT_RUN))
-			Expect(d.stopped(running)).To(BeFalse())
+			Expect(d.cancelled(running)).To(BeFalse())
 			d.step(requests.HandOver{})
-			Expect(d.stopped(running)).To(BeTrue())
+			Expect(d.cancelled(running)).To(BeTrue())
 		})
 
 		It("never cancels a call that may not be repeated", func() {
@@ -338,7 +338,7 @@
 			d.arrive(call(id))
 			d.step(requests.StopAdmitting{Code: verdict.CodeDraining, Reason: "drained"})
 			d.step(requests.HandOver{})
-			Expect(d.stopped(id)).To(BeFalse())
+			Expect(d.cancelled(id)).To(BeFalse())
 		})
 	})
 
@@ -353,12 +353,12 @@
 			for range 2 {
 				d.resolve(newID())
 			}
-			d.pass(time.Second)
+			d.advance(time.Second)
 			unseen := newID()
 			start := call(unseen)
 			start.BudgetUs = time.Minute.Microseconds()
 			Expect(d.refusal(d.arrive(start)).GetCode()).To(BeEquivalentTo(verdict.CodeOverloaded))
-			d.pass(29 * time.Second)
+			d.advance(29 * time.Second)
 			d.step(requests.Tick{})
 			copied := requests.StartReceived{Stream: d.stream(), Start: start, Age: 29 * time.Second}
 			d.step(copied)
@@ -459,22 +459,22 @@
 	}
 }
 
-func (d *driver) pass(t time.Duration) { d.now = d.now.Add(t) }
+func (d *driver) advance(t time.Duration) { d.now = d.now.Add(t) }
 
 func (d *driver) stream() requests.Stream {
 	d.streams++
 	return d.streams
 }
 
-func (d *driver) step(e requests.Event) { d.take(d.table.Step(d.now, e)) }
+func (d *driver) step(e requests.Event) { d.perform(d.table.Step(d.now, e)) }
 
 func (d *driver) recover() {
 	next, effects := d.table.Recover(d.now)
 	d.table = next
-	d.take(effects)
+	d.perform(effects)
 }
 
-func (d *driver) take(effects []requests.Effect) {
+func (d *driver) perform(effects []requests.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case requests.Send:
@@ -548,7 +548,7 @@
 
 func (d *driver) started(id uuid.UUID) int { return d.starts[id] }
 
-func (d *driver) stopped(id uuid.UUID) bool { return d.cancels[d.runs[id]] }
+func (d *driver) cancelled(id uuid.UUID) bool { return d.cancels[d.runs[id]] }
 
 func (d *driver) last(stream requests.Stream) *wire.Frame {
 	GinkgoHelper()
--- a/internal/sidecar/runner.go
+++ b/internal/sidecar/runner.go
@@ -28,7 +28,7 @@
 	defer func() {
 		if recovered := recover(); recovered != nil {
 			runPanics.Inc(1)
-			log.WithField("fault", fmt.Sprint(recovered)).Error("run panicked")
+			log.WithField("request", requestIDString(e.Start.GetRequestId())).WithField("fault", fmt.Sprint(recovered)).Error("run panicked")
 			finished = requests.RunFinished{
 				Run: e.Run,
 				Err: verdict.New(verdict.MayHaveRun, verdict.CodeInternal, "the run failed inside the sidecar"),
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -52,6 +52,8 @@
 // entries echo in Start and Resolve.
 var clockOrigin = time.Now()
 
+// clock returns the process clock. It is never 0, as a frame without a positive
+// clock value has an unknown age.
 func clock() time.Duration { return time.Since(clockOrigin) + time.Microsecond }
 
 // Run serves until ctx is done, then finishes or hands over running requests and
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -81,7 +81,7 @@
 	Code    Code
 	// Message is a description for humans.
 	Message string
-	// RetryAfter is the delay after which a retry is useful; zero if none is.
+	// RetryAfter is the delay after which a retry is useful; zero if it is not.
 	RetryAfter time.Duration
 }
 
