--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -48,7 +48,7 @@
 }
 
 func logSupervisorEvent(event suture.Event) {
-	log.WithField("event", event.String()).Warn("supervisor")
+	log.WithField("event", event.String()).Warn("supervisor event")
 }
 
 // NewClient returns a client of the platform configured by the settings in i.
--- a/internal/entry/api/api_test.go
+++ b/internal/entry/api/api_test.go
@@ -67,23 +67,23 @@
 	}
 }
 
-func complete(pieces ...string) func(serve.Sink) {
+func complete(chunks ...string) func(serve.Sink) {
 	return func(sink serve.Sink) {
-		for _, p := range pieces {
-			if sink.Deliver([]byte(p), 1) != nil {
+		for _, c := range chunks {
+			if sink.Deliver([]byte(c), 1) != nil {
 				return
 			}
 		}
 		sink.Finish(call.Finish{
 			Final:  &wire.Final{FinishReason: "stop", Status: http.StatusCreated, PromptTokens: 3},
-			Tokens: uint32(len(pieces)),
+			Tokens: uint32(len(chunks)),
 		})
 	}
 }
 
-func brokenAfter(piece string) func(serve.Sink) {
+func brokenAfter(chunk string) func(serve.Sink) {
 	return func(sink serve.Sink) {
-		_ = sink.Deliver([]byte(piece), 1)
+		_ = sink.Deliver([]byte(chunk), 1)
 		sink.Fail(verdict.New(verdict.MayHaveRun, verdict.CodeAnswerBroken, "gone"))
 	}
 }
--- a/internal/entry/api/sink.go
+++ b/internal/entry/api/sink.go
@@ -44,7 +44,7 @@
 // Fail implements serve.Sink.
 func (s *bufferedSink) Fail(err *verdict.Error) { writeError(s.w, s.id, err) }
 
-// streamSink sends each piece of the answer as a server-sent event.
+// streamSink sends each chunk of the answer as a server-sent event.
 type streamSink struct {
 	w            http.ResponseWriter
 	responses    responseBuilder
--- a/internal/entry/call/call.go
+++ b/internal/entry/call/call.go
@@ -83,8 +83,8 @@
 	deliveredTokens uint32
 	deadlinePassed  bool
 	lastErr         *verdict.Error
-	// retry belongs to the next Route, which is due at routeAt. waitDeadline
-	// ends the wait for a planned change; a chunk resets it to zero.
+	// retry belongs to the next Route, which is due at routeAt if it is delayed.
+	// waitDeadline ends the wait for a planned change; a chunk resets it to zero.
 	retry        *Retry
 	routeAt      time.Time
 	waitDeadline time.Time
@@ -125,7 +125,7 @@
 	return &Machine{spec: spec}
 }
 
-// Ended reports whether a Finish or Fail effect has been returned.
+// Finished reports whether a Finish or Fail effect has been returned.
 func (m *Machine) Finished() bool { return m.phase == ended }
 
 // Attempt returns the number of the current attempt, counted from 1.
--- a/internal/entry/call/call_test.go
+++ b/internal/entry/call/call_test.go
@@ -116,7 +116,8 @@
 	})
 
 	// Guards against mixed-up answers: two requests share a link, and a frame of
-	// one arrives on the stream of the other.
+	// one arrives on the stream of the other, so that its caller would get another
+	// caller's text within its own answer.
 	It("drops a frame of another request", func() {
 		f := newFixture(call.Spec{Resumable: true})
 		f.sendTo("a")
@@ -124,8 +125,9 @@
 		Expect(f.delivered).To(BeEmpty())
 	})
 
-	// Guards against truncated answers: a chunk is lost and the Final frame
-	// arrives. Chunk count and digest in the Final frame reveal the loss.
+	// Guards against a truncated answer that its caller takes for the complete
+	// one: a chunk is lost and the Final frame arrives. Chunk count and digest in
+	// the Final frame reveal the loss.
 	It("does not complete an answer with a missing chunk", func() {
 		f := newFixture(call.Spec{})
 		f.sendTo("a")
@@ -138,8 +140,8 @@
 		Expect(f.delivered).To(BeEmpty())
 	})
 
-	// An engine crashes while generating. Another one continues from the text
-	// that was delivered, so that the caller gets one gapless answer.
+	// Guards against an answer that breaks off or has a gap when an engine crashes
+	// while generating: another one continues from the text that was delivered.
 	It("resumes an interrupted generation at another engine", func() {
 		f := newFixture(call.Spec{Resumable: true})
 		f.sendTo("a")
@@ -187,8 +189,9 @@
 		Expect(route.Excluded).To(BeEmpty())
 	})
 
-	// Two engines change their roles, one after the other, during one long
-	// generation. The wait for the first must not count towards the second.
+	// Guards against a long answer that is broken off during planned changes: two
+	// engines change their roles one after the other, and the wait for the first
+	// must not count towards the second.
 	It("applies the wait limit to each planned change separately", func() {
 		f := newFixture(call.Spec{Resumable: true})
 		later := func() {
@@ -218,8 +221,8 @@
 		Expect(f.failure().Verdict).To(Equal(verdict.MayHaveRun))
 	})
 
-	// Guards against a false "not run": the driver reports NotSent after Sent,
-	// while the sidecar runs the attempt.
+	// Guards against telling the caller "not run" falsely: the driver reports
+	// NotSent after Sent, while the sidecar runs the attempt.
 	It("ignores NotSent for an attempt that was sent", func() {
 		f := newFixture(call.Spec{})
 		f.sendTo("a")
@@ -305,8 +308,8 @@
 		Expect(f.failure().Verdict).To(Equal(verdict.MayHaveRun))
 	})
 
-	// The prefill engine is unreachable: the decode engine prefills the prompt
-	// itself.
+	// Guards against a request that fails because its prefill engine is
+	// unreachable: the decode engine prefills the prompt itself.
 	It("lets the decode engine prefill when the prefill engine fails", func() {
 		f := newFixture(call.Spec{Resumable: true})
 		f.step(call.Routed{Attempt: 1, Server: "decode", PrefillServer: "prefill"})
@@ -330,9 +333,9 @@
 		Expect(start.KV.GetId()).To(Equal("kv-1"))
 	})
 
-	// A request is still in the sidecar's queue at its deadline. It is worth
-	// waiting for the sidecar's confirmation that the request never started,
-	// because the caller may then retry.
+	// Guards against a needless "may have run": a request is still in the
+	// sidecar's queue at its deadline. If the sidecar confirms that it never
+	// started, the caller may retry.
 	It("waits for the sidecar's response to the Cancel after the deadline", func() {
 		f := newFixture(call.Spec{})
 		f.sendTo("a")
--- a/internal/entry/call/event.go
+++ b/internal/entry/call/event.go
@@ -66,7 +66,7 @@
 	StreamLost struct{ Attempt uint32 }
 
 	// LinkSilent reports that the connection of the attempt received nothing for
-	// link.SilentAfter, or has ended.
+	// link.SilenceTimeout, or has ended.
 	LinkSilent struct{ Attempt uint32 }
 
 	// Resolution is the sidecar's response to a Resolve effect.
--- a/internal/entry/call/random_test.go
+++ b/internal/entry/call/random_test.go
@@ -383,12 +383,12 @@
 
 // check verifies the invariants after each action.
 func (sim *simulation) check(t *rapid.T) {
-	whole := fullAnswer(sim.spec.ID)
-	if !strings.HasPrefix(whole, sim.delivered) {
-		t.Fatalf("delivered %q, which is not a prefix of %q", sim.delivered, whole)
+	full := fullAnswer(sim.spec.ID)
+	if !strings.HasPrefix(full, sim.delivered) {
+		t.Fatalf("delivered %q, which is not a prefix of %q", sim.delivered, full)
 	}
-	if sim.finished && sim.delivered != whole {
-		t.Fatalf("finished with %q, expected %q", sim.delivered, whole)
+	if sim.finished && sim.delivered != full {
+		t.Fatalf("finished with %q, expected %q", sim.delivered, full)
 	}
 	if !sim.spec.Idempotent && !sim.spec.Resumable && sim.runs() > 1 {
 		t.Fatalf("a non-idempotent request ran %d times", sim.runs())
@@ -416,10 +416,11 @@
 }
 
 var _ = Describe("Machine under faults", func() {
-	// Frames are lost, duplicated, reordered and mixed up, links break or go
-	// silent, and sidecars restart and lose their state. In any order of events
-	// a caller gets its own complete answer or an error, "not run" is true, and a
-	// non-idempotent request runs at most once.
+	// Guards against wrong answers, a false "not run" and second runs when frames
+	// are lost, duplicated, reordered and mixed up, links break or go silent, and
+	// sidecars restart and lose their state. In any order of events a caller gets
+	// its own complete answer or an error, "not run" is true, and a non-idempotent
+	// request runs at most once.
 	It("preserves its invariants in any order of events", func() {
 		coverage := map[string]int{}
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -172,8 +172,9 @@
 }
 
 var _ = Describe("Run", func() {
-	// A VM is shut down while an answer is streamed, and the load balancer sends
-	// one more request before it has noticed. Both get complete answers.
+	// Guards against requests cut by a planned shutdown: a VM is replaced while an
+	// answer is streamed, and the load balancer sends one more request before it
+	// has noticed. Both callers must get complete answers.
 	It("finishes running requests and those that the load balancer still sends when it shuts down", func() {
 		s := startDeployment()
 		resp, err := s.complete("300", nil)
@@ -201,8 +202,8 @@
 		Eventually(s.stopped, eventTimeout).Should(Receive(BeNil()))
 	})
 
-	// An answer takes longer than the caller's deadline. It is aborted, and the
-	// stream must not end as if the answer were complete.
+	// Guards against a truncated answer that looks complete to its caller: the
+	// answer takes longer than the caller's deadline and is aborted.
 	It("aborts an answer at its deadline", func() {
 		s := startDeployment()
 		resp, err := s.complete("300", http.Header{"Pistachioroad-Timeout": {"300ms"}})
--- a/internal/entry/links/conn.go
+++ b/internal/entry/links/conn.go
@@ -130,7 +130,7 @@
 func (c *Conn) Open() (*wire.Conn, error) { return c.session.Open() }
 
 // Silent returns a channel that is closed once no frame has arrived for
-// link.SilentAfter, or the connection has been replaced or closed.
+// link.SilenceTimeout, or the connection has been replaced or closed.
 func (c *Conn) Silent() <-chan struct{} { return c.silent }
 
 func (c *Conn) isSilent() bool {
--- a/internal/entry/links/pool.go
+++ b/internal/entry/links/pool.go
@@ -19,7 +19,8 @@
 	// connPollInterval is how often it checks.
 	connTimeout      = time.Second
 	connPollInterval = 5 * time.Millisecond
-	// onDemandIdleTimeout is how long an unused on-demand link stays open.
+	// onDemandIdleTimeout is how long an on-demand link stays open after Conn last
+	// requested it. Then it is closed once no request runs on it.
 	onDemandIdleTimeout = 30 * time.Second
 	// maxOnDemandLinks bounds the links in addition to the persistent ones.
 	maxOnDemandLinks = 64
--- a/internal/entry/router/dump.go
+++ b/internal/entry/router/dump.go
@@ -49,7 +49,7 @@
 	return d
 }
 
-// loads returns the last load report and link state of each backend server.
+// loadReports returns the last load report and link state of each backend server.
 func (s *state) loadReports() map[string]LoadReport {
 	loads := make(map[string]LoadReport, len(s.servers))
 	for name, srv := range s.servers {
--- a/internal/entry/router/group.go
+++ b/internal/entry/router/group.go
@@ -54,7 +54,8 @@
 type group struct {
 	admitter    *admit.Admitter
 	demandMeter *shift.DemandMeter
-	// retryShare is the work that budget lets be retried per work that succeeded.
+	// retryShare is the limit of budget: the work of retries as a fraction of the
+	// work that succeeded.
 	retryShare float64
 	budget     *retry.Budget
 	// accountLimit is the limit of each account in cost tokens per second, 0 for
--- a/internal/entry/router/router.go
+++ b/internal/entry/router/router.go
@@ -61,7 +61,7 @@
 
 // Outcome is the outcome of one attempt at a backend server.
 type Outcome struct {
-	// TimeToFirstPiece is the time to the first piece of the answer, or to the
+	// TimeToFirstChunk is the time to the first chunk of the answer, or to the
 	// failure if there was none.
 	TimeToFirstChunk time.Duration
 	// Rejected reports that the backend server rejected the attempt without
@@ -99,7 +99,7 @@
 type Gossip interface {
 	// AnnounceUsage announces the usage and demand of this entry.
 	AnnounceUsage(accounts *wire.Accounts)
-	// Accounts returns the channel of the other entries' announcements.
+	// PeerUsage returns the channel of the other entries' announcements.
 	PeerUsage() <-chan member.PeerUsage
 }
 
--- a/internal/entry/serve/serve.go
+++ b/internal/entry/serve/serve.go
@@ -71,8 +71,8 @@
 	sink.Fail(err)
 }
 
-// recoverPanic reports a panic to the caller as an internal error, with the
-// verdict that the request may have run.
+// recoverPanic reports a panic to the caller as an internal error. The verdict is
+// at least that the request may have run, since an attempt may have been sent.
 func (r *run) recoverPanic() {
 	fault := recover()
 	if fault == nil {
--- a/internal/entry/serve/serve_test.go
+++ b/internal/entry/serve/serve_test.go
@@ -260,8 +260,8 @@
 		Expect(caller.finished).To(BeTrue())
 	})
 
-	// An engine crashes while generating and its sidecar ends the stream. The
-	// caller gets one answer, continued by another engine.
+	// Guards against an answer that breaks off: an engine crashes while generating
+	// and its sidecar ends the stream. Another engine must continue the answer.
 	It("continues an interrupted answer at another engine", func() {
 		a, b := newSidecar("a", sharedstate.ServiceModels), newSidecar("b", sharedstate.ServiceModels)
 		var first atomic.Bool
@@ -295,11 +295,11 @@
 			started <- start
 			a.heartbeatsStopped.Store(true)
 		}
-		var asked atomic.Bool
+		var resolvedWhileOpen atomic.Bool
 		a.resolve = func(*wire.Resolve) *wire.Resolution {
 			// The silent connection is still open: the query does not wait for its
 			// end.
-			asked.Store(!a.closed.Load())
+			resolvedWhileOpen.Store(!a.closed.Load())
 			chunks, final := frames(<-started, []string{"placed"})
 			return &wire.Resolution{Outcome: wire.Outcome_OUTCOME_RAN, Chunks: chunks, Final: final}
 		}
@@ -307,11 +307,11 @@
 		startServer(a).Do(context.Background(), callRequest(), caller)
 		Expect(caller.text.String()).To(Equal("placed"))
 		Expect(runs.Load()).To(BeEquivalentTo(1))
-		Expect(asked.Load()).To(BeTrue())
+		Expect(resolvedWhileOpen.Load()).To(BeTrue())
 	})
 
-	// A caller disconnects while its answer is being generated. Cancelling frees
-	// the engine for other requests.
+	// Guards against engine time spent on an answer that nobody reads: its caller
+	// disconnects while it is being generated, and other requests need the engine.
 	It("cancels the work of a caller that has disconnected", func() {
 		a := newSidecar("a", sharedstate.ServiceModels)
 		a.start = func(conn *wire.Conn, start *wire.Start) {
--- a/internal/fleetconfig/change.go
+++ b/internal/fleetconfig/change.go
@@ -178,11 +178,11 @@
 }
 
 func (e *editor) removeException(id string) error {
-	kept := lo.Filter(e.config.Exceptions, func(x Exception, _ int) bool { return x.ID != id })
-	if len(kept) == len(e.config.Exceptions) {
+	remaining := lo.Filter(e.config.Exceptions, func(x Exception, _ int) bool { return x.ID != id })
+	if len(remaining) == len(e.config.Exceptions) {
 		return eris.Wrapf(ErrInvalidChange, "there is no exception %q", id)
 	}
-	e.config.Exceptions = kept
+	e.config.Exceptions = remaining
 	e.addHistory("remove exception " + id)
 	return nil
 }
@@ -200,13 +200,13 @@
 
 // undrain removes the exceptions that only drain the backend server.
 func (e *editor) undrain(backendServer string) error {
-	kept := lo.Reject(e.config.Exceptions, func(x Exception, _ int) bool {
+	remaining := lo.Reject(e.config.Exceptions, func(x Exception, _ int) bool {
 		return x.Scope == Scope{BackendServer: backendServer} && x.Values.String() == drainedText
 	})
-	if len(kept) == len(e.config.Exceptions) {
+	if len(remaining) == len(e.config.Exceptions) {
 		return eris.Wrapf(ErrInvalidChange, "no exception drains just %q", backendServer)
 	}
-	e.config.Exceptions = kept
+	e.config.Exceptions = remaining
 	e.addHistory("undrain " + backendServer)
 	return nil
 }
--- a/internal/fleetconfig/fleetconfig_test.go
+++ b/internal/fleetconfig/fleetconfig_test.go
@@ -63,7 +63,7 @@
 		Entry("no value", "deadline", "not KEY=VALUE"),
 		Entry("a bad duration", "deadline=2", "not a value of this key"),
 		Entry("too many retries", "retry_share=0.2", "expected 0 to 0.1"),
-		Entry("a number that is none", "retry_share=NaN", "not a value of this key"),
+		Entry("NaN", "retry_share=NaN", "not a value of this key"),
 		Entry("an unknown class", "class=urgent", "expected one of"),
 		Entry("a negative cost", "role_change_cost=-1", "expected 0 to 3600"),
 	)
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -52,7 +52,7 @@
 	p.down = down
 }
 
-func (p *fakePlatform) look(name string) (sharedstate.Object, <-chan struct{}, error) {
+func (p *fakePlatform) lookUp(name string) (sharedstate.Object, <-chan struct{}, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.down {
@@ -64,7 +64,7 @@
 }
 
 func (p *fakePlatform) Get(_ context.Context, name string) (sharedstate.Object, error) {
-	o, _, err := p.look(name)
+	o, _, err := p.lookUp(name)
 	return o, err
 }
 
@@ -74,7 +74,7 @@
 
 func (p *fakePlatform) Watch(ctx context.Context, name string, after uint64) (sharedstate.Object, error) {
 	for {
-		o, changed, err := p.look(name)
+		o, changed, err := p.lookUp(name)
 		if err != nil || o.Version > after {
 			return o, err
 		}
--- a/internal/member/state.go
+++ b/internal/member/state.go
@@ -20,7 +20,7 @@
 	// message is also the heartbeat of the link.
 	GossipInterval = 2 * time.Second
 	// fetchRetryInterval is how long a newer object may take to arrive before it is
-	// requested or sent again.
+	// requested again, from any peer that has it, or sent again.
 	fetchRetryInterval = 500 * time.Millisecond
 	// readyPeerCount is how many processes must announce their versions before a new
 	// process counts as confirmed without the store.
@@ -226,8 +226,8 @@
 	s.send(ev.Peer, s.versionsFrame())
 }
 
-// handlePeerVersions sends the peer the objects that it lacks, and requests those that
-// are missing here.
+// handlePeerVersions sends the peer the objects of which it has no or an older version,
+// and requests those of which it has a newer one.
 func (s *State) handlePeerVersions(now time.Time, ev PeerVersions) {
 	if !s.current.Confirmed && len(s.announced) < maxPeers {
 		s.announced[ev.Process] = s.filterWanted(ev.Versions)
@@ -268,7 +268,8 @@
 	s.send(id, &wire.Frame{Body: &wire.Frame_Vms{Vms: listToWire(s.current.VMs, age)}})
 }
 
-// filterWanted returns the versions of those objects that this process holds.
+// filterWanted returns the versions of the objects that this process wants, 0 for one
+// that is not in versions.
 func (s *State) filterWanted(versions map[string]uint64) map[string]uint64 {
 	wanted := map[string]uint64{}
 	for _, name := range s.objects.wanted {
--- a/internal/operator/edit.go
+++ b/internal/operator/edit.go
@@ -93,7 +93,7 @@
 // errConflict and errAlreadyApplied abort an update before it writes.
 var (
 	errConflict       = eris.New("another edit came first")
-	errAlreadyApplied = eris.New("the edit is in force already")
+	errAlreadyApplied = eris.New("the edit is already applied")
 )
 
 type configOutput struct{ Body ConfigView }
@@ -110,11 +110,11 @@
 func (s *Server) getConfig(ctx context.Context, _ *struct{}) (*configOutput, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	inForce := s.sources.Fleet.Config()
-	view := ConfigView{Source: SourceStore, InForce: inForce.Version}
+	active := s.sources.Fleet.Config()
+	view := ConfigView{Source: SourceStore, InForce: active.Version}
 	object, err := s.sources.Store.Get(ctx, fleetconfig.ObjectName)
 	if err != nil {
-		object = inForce
+		object = active
 		view.Source = SourceActive
 	}
 	view.Version = object.Version
@@ -197,7 +197,9 @@
 }
 
 // conflictResult returns the requested and the current values for an edit that
-// lost a race, or an unknown result if that cannot be established.
+// conflicts with another one, or an unknown result if the configuration cannot be
+// decoded or its history does not reach back far enough to show whether the edit
+// was applied.
 func conflictResult(r EditRequest, current sharedstate.Object, outcome sharedstate.Outcome) EditResult {
 	config, err := decodeConfig(current)
 	since, complete := config.EditsSince(r.BaseVersion)
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -54,7 +54,8 @@
 	ProcessDraining ProcessState = "draining"
 	// ProcessLeaving means that the VM list marks the process as leaving.
 	ProcessLeaving ProcessState = "leaving"
-	// ProcessSilent means that no heartbeat arrived for link.SilenceTimeout.
+	// ProcessSilent means that the link to the process is down, or that no frame
+	// arrived on it for link.SilenceTimeout.
 	ProcessSilent ProcessState = "silent"
 	// ProcessUnlinked means that the process is in the VM list, but this entry
 	// maintains no link to it.
@@ -119,7 +120,7 @@
 // StoreStatus is the status of the platform's store as the entry sees it.
 type StoreStatus struct {
 	Healthy bool `json:"healthy"`
-	// LastSuccess is the time since the last successful call.
+	// LastSuccess is the time since the store last responded.
 	LastSuccess fleetconfig.Duration `json:"last_success"`
 	Error       string               `json:"error,omitempty"`
 }
--- a/internal/operator/fleet_test.go
+++ b/internal/operator/fleet_test.go
@@ -61,10 +61,10 @@
 	return sharedstate.Object{}, sharedstate.ErrUnavailable
 }
 
-func (s *fakeStore) set(down, deaf bool) {
+func (s *fakeStore) set(down, losesReplies bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.down, s.losesReplies = down, deaf
+	s.down, s.losesReplies = down, losesReplies
 }
 
 // fakeFleet is the view of the entry under test.
@@ -200,8 +200,9 @@
 		Expect(result.Version).To(BeEquivalentTo(1))
 	})
 
-	// During a long outage of the store the last configuration stays active and
-	// readable. An edit fails immediately and reports that nothing was changed.
+	// Guards against operators who cannot read the configuration, or do not know the
+	// outcome of an edit, during a long outage of the store: the last configuration
+	// stays active and readable, and an edit fails immediately, with nothing changed.
 	It("fail while the store is down and report that nothing was changed", func() {
 		post(url, roleChangeCostEdit("edit-0001", "kim", 0, 5))
 		store.set(true, false)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -83,7 +83,8 @@
 	BalancerLag time.Duration `yaml:"balancer_lag"`
 	// ShutdownTimeout bounds the wait for requests in flight at shutdown.
 	ShutdownTimeout time.Duration `yaml:"shutdown_timeout"`
-	// Links is the number of sidecars that the entry links to; 0 means all.
+	// Links is the number of sidecars of each service to which the entry keeps a
+	// persistent link; 0 means all.
 	Links int `yaml:"links"`
 }
 
--- a/internal/sharedstate/client.go
+++ b/internal/sharedstate/client.go
@@ -277,8 +277,8 @@
 	c.breaker.failed(c.now())
 }
 
-// storeResponded reports whether the store is healthy: it executed the call, or rejected
-// it for a reason other than an overload or outage.
+// storeResponded reports whether the store is healthy: it executed the call, or replied
+// why it cannot, which is a conflict, a missing object or a compacted history.
 func storeResponded(err error) bool {
 	return err == nil || errors.Is(err, store.ErrConflict) ||
 		errors.Is(err, store.ErrNotFound) || errors.Is(err, store.ErrCompacted)
--- a/internal/sharedstate/write_test.go
+++ b/internal/sharedstate/write_test.go
@@ -20,11 +20,11 @@
 
 const (
 	fine fate = iota
-	// replyLost updates take effect immediately, late ones when land is called. Both
-	// return ErrUnknown.
+	// replyLost updates take effect immediately, late ones when applyDelayed is
+	// called. Both return ErrUnknown.
 	replyLost
 	late
-	refused
+	rejected
 )
 
 // fakeStore holds one object. It is not safe for concurrent use.
@@ -36,7 +36,7 @@
 }
 
 func (s *fakeStore) Get(context.Context, string) (sharedstate.Object, error) {
-	if s.fates() == refused {
+	if s.fates() == rejected {
 		return sharedstate.Object{}, sharedstate.ErrUnavailable
 	}
 	return s.object, nil
@@ -45,7 +45,7 @@
 func (s *fakeStore) Put(_ context.Context, name string, version uint64, value []byte) (uint64, error) {
 	update := sharedstate.Object{Name: name, Version: version, Value: value}
 	switch s.fates() {
-	case refused:
+	case rejected:
 		return 0, eris.Wrap(sharedstate.ErrNotSent, "outage")
 	case late:
 		s.delayed = append(s.delayed, update)
@@ -72,8 +72,8 @@
 	return s.object.Version, nil
 }
 
-// land makes the n-th delayed update take effect, if its version still matches.
-func (s *fakeStore) land(n int) {
+// applyDelayed makes the n-th delayed update take effect, if its version still matches.
+func (s *fakeStore) applyDelayed(n int) {
 	update := s.delayed[n]
 	s.delayed = append(s.delayed[:n], s.delayed[n+1:]...)
 	_, _ = s.apply(update)
@@ -115,7 +115,7 @@
 		o, outcome, err := sharedstate.Update(ctx, store, "a", appendID)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(outcome).To(Equal(sharedstate.Applied))
-		store.land(0)
+		store.applyDelayed(0)
 		Expect(store.object).To(Equal(o))
 	})
 
@@ -127,7 +127,7 @@
 		store.fates = inOrder(late)
 		call(store, w)
 		call(store, w)
-		store.land(0)
+		store.applyDelayed(0)
 		call(store, w)
 		call(store, w)
 		Expect(w.NextCall()).To(Equal(sharedstate.CallNone))
@@ -149,7 +149,7 @@
 	})
 
 	It("reports an outage as not applied", func() {
-		store := &fakeStore{fates: inOrder(fine, refused)}
+		store := &fakeStore{fates: inOrder(fine, rejected)}
 		_, outcome, err := sharedstate.Update(ctx, store, "a", appendID)
 		Expect(outcome).To(Equal(sharedstate.NotApplied))
 		Expect(errors.Is(err, sharedstate.ErrNotSent)).To(BeTrue())
@@ -161,7 +161,7 @@
 		store.fates = func() fate {
 			if len(store.delayed) > 0 {
 				cancel()
-				return refused
+				return rejected
 			}
 			return late
 		}
@@ -190,7 +190,7 @@
 func TestWriteOutcomesAreTrue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := &fakeStore{fates: func() fate {
-			return rapid.SampledFrom([]fate{fine, late, replyLost, late, refused}).Draw(t, "fate")
+			return rapid.SampledFrom([]fate{fine, late, replyLost, late, rejected}).Draw(t, "fate")
 		}}
 		writers := make([]*sharedstate.Write, 2)
 		concluded := map[string]sharedstate.Outcome{}
@@ -213,12 +213,12 @@
 			"step": func(t *rapid.T) { step(rapid.IntRange(0, 1).Draw(t, "writer")) },
 			"land": func(t *rapid.T) {
 				if len(store.delayed) > 0 {
-					store.land(rapid.IntRange(0, len(store.delayed)-1).Draw(t, "late"))
+					store.applyDelayed(rapid.IntRange(0, len(store.delayed)-1).Draw(t, "late"))
 				}
 			},
 		})
 		for len(store.delayed) > 0 {
-			store.land(0)
+			store.applyDelayed(0)
 		}
 		final := string(store.object.Value)
 		for id, outcome := range concluded {
--- a/internal/wire/conn.go
+++ b/internal/wire/conn.go
@@ -16,8 +16,8 @@
 	"google.golang.org/protobuf/encoding/protodelim"
 )
 
-// MaxFrame is the maximum frame size in bytes. It is large enough for the largest
-// request body of a caller and its headers.
+// MaxFrame is the maximum frame size in bytes. It is large enough for a request
+// body of the default size limit and its headers.
 const MaxFrame = 8 << 20
 
 // maxRetainedBuffer is the size in bytes above which a Conn does not reuse its
