--- a/test/e2e/faults_test.go
+++ b/test/e2e/faults_test.go
@@ -15,37 +15,37 @@
 	"pistachioroad.dev/pistachioroad/test/standin/plainservice"
 )
 
-// faultTime is how long a fault lasts: longer than two missed heartbeats.
-const faultTime = 4 * time.Second
+// faultDuration is the duration of a fault, long enough to miss two heartbeats.
+const faultDuration = 4 * time.Second
 
 var _ = Describe("A fleet under load", func() {
-	It("answers all when nothing fails", func() {
-		f := start(hanbit())
+	It("answers all calls when there is no fault", func() {
+		f := start(smallFleet())
 		l := f.StartLoad()
 		expectRecovery(l)
 		results := l.Stop()
 		expectNoneFailed(results)
-		expectPromises(f, results)
+		expectGuarantees(f, results)
 	})
 
-	// A device between the two ends loses track of a connection: it stays open
-	// and carries nothing, while new connections work. Callers would wait for
-	// answers until their deadlines.
-	It("goes around links that have gone silent", func() {
-		f := start(hanbit())
+	// Guards against callers waiting until their deadlines: a NAT or firewall loses
+	// the state of a link's connection, which stays open and carries nothing, while
+	// new connections work.
+	It("recovers from links that are open but carry nothing", func() {
+		f := start(smallFleet())
 		l := f.StartLoad()
 		expectRecovery(l)
 		f.Proxies["holds-1"].BlackholeExisting()
 		f.Proxies["engine-1"].BlackholeExisting()
 		expectRecovery(l)
-		expectPromises(f, l.Stop())
+		expectGuarantees(f, l.Stop())
 	})
 
-	// A sidecar is killed with calls before, within and after their run, and
-	// comes back without any memory of them. A caller that is told "not run"
-	// asks again, and the hold is placed twice.
-	It("tells the truth about holds when their sidecar is killed", func() {
-		f := start(hanbit())
+	// Guards against a false "not run", after which the caller retries and the hold
+	// is placed twice: a sidecar is killed with calls before, during and after their
+	// run, and is restarted without its memory of them.
+	It("returns true verdicts about holds when their sidecar is killed", func() {
+		f := start(smallFleet())
 		l := f.StartLoad()
 		for _, name := range f.Services["holds"] {
 			Expect(f.SetServiceFaults(context.Background(), name, plainservice.Faults{DelayMS: 30})).To(Succeed())
@@ -56,29 +56,28 @@
 			Expect(f.Processes[name].Restart()).To(Succeed())
 		}
 		expectRecovery(l)
-		expectPromises(f, l.Stop())
+		expectGuarantees(f, l.Stop())
 	})
 
-	// A sidecar is paused past the deadlines of what it has queued, and wakes
-	// up. Work that it then starts runs for callers that were already told that
-	// it did not.
-	It("starts nothing that is past its deadline after a pause", func() {
-		f := start(hanbit())
+	// Guards against running a call whose caller has already received "not run": a
+	// sidecar is paused until after the deadlines of its queued calls, and resumed.
+	It("runs no call after its deadline when a sidecar is resumed", func() {
+		f := start(smallFleet())
 		l := f.StartLoad()
 		expectRecovery(l)
 		f.Processes["holds-1"].Pause()
 		f.Processes["engine-2"].Pause()
-		time.Sleep(2 * faultTime)
+		time.Sleep(2 * faultDuration)
 		f.Processes["holds-1"].Resume()
 		f.Processes["engine-2"].Resume()
 		expectRecovery(l)
-		expectPromises(f, l.Stop())
+		expectGuarantees(f, l.Stop())
 	})
 
-	// An entry dies with holds in flight, and the callers ask another entry
-	// with the same keys.
-	It("places a hold once though its entry is killed and another is asked", func() {
-		f := start(hanbit())
+	// Guards against placing holds twice: an entry is killed with holds in flight,
+	// and the callers retry with the same keys through another entry.
+	It("places a hold once when its entry is killed and the caller retries through another", func() {
+		f := start(smallFleet())
 		for _, name := range f.Services["holds"] {
 			Expect(f.SetServiceFaults(context.Background(), name, plainservice.Faults{DelayMS: 300})).To(Succeed())
 		}
@@ -96,83 +95,84 @@
 			subject, key := fmt.Sprintf("h%d", i), fmt.Sprintf("k%d", i)
 			Eventually(func() int {
 				return fleet.PlaceHold(f.URL("entry-2"), subject, key).Answer.Status
-			}, soon, "100ms").Should(Equal(http.StatusCreated), subject)
+			}, eventuallyTimeout, "100ms").Should(Equal(http.StatusCreated), subject)
 		}
 		for i := range holds {
 			Expect(holdRuns(f)[fmt.Sprintf("h%d", i)]).To(Equal(1))
 		}
-		expectPromises(f, nil)
+		expectGuarantees(f, nil)
 	})
 
-	// An engine crashes in the middle of its streams. A caller either gets the
-	// rest from another engine or sees that the answer is broken, but never a
-	// short answer that looks whole.
-	It("finishes drafts elsewhere when an engine crashes", func() {
-		f := start(hanbit())
+	// Guards against truncated answers that look complete: an engine crashes in the
+	// middle of its streams. The calls are finished by other engines.
+	It("finishes completions on other engines when an engine crashes", func() {
+		f := start(smallFleet())
 		l := f.StartLoad()
 		expectRecovery(l)
 		backend := f.Processes[fleet.BackendProcess("engine-1")]
 		backend.Kill()
-		time.Sleep(faultTime)
+		time.Sleep(faultDuration)
 		Expect(backend.Restart()).To(Succeed())
 		expectRecovery(l)
 		results := l.Stop()
 		expectNoneFailed(results)
-		expectPromises(f, results)
+		expectGuarantees(f, results)
 	})
 
-	// Everything between one data centre and the rest is lost in one direction,
-	// then in the other, then slow, then cut.
-	It("lives through partitions of every kind", func() {
-		f := start(hanbit())
+	// The links of one engine and one service in turn lose all bytes in one
+	// direction, lose those in the other, carry nothing on new connections, are
+	// slow, and are closed.
+	It("recovers from network partitions of every kind", func() {
+		f := start(smallFleet())
 		l := f.StartLoad()
 		expectRecovery(l)
 		for _, mode := range []faultproxy.Mode{
 			{DropToServer: true},
 			{DropToClient: true},
-			{SilenceNew: true},
+			{BlackholeNew: true},
 			{Delay: 50 * time.Millisecond},
 			{Cut: true},
 		} {
 			f.Proxies["engine-2"].Set(mode)
 			f.Proxies["holds-2"].Set(mode)
-			time.Sleep(faultTime)
+			time.Sleep(faultDuration)
 			f.Proxies["engine-2"].Set(faultproxy.Mode{})
 			f.Proxies["holds-2"].Set(faultproxy.Mode{})
 			expectRecovery(l)
 		}
-		expectPromises(f, l.Stop())
+		expectGuarantees(f, l.Stop())
 	})
 
-	// The platform's store is down. Holds cannot be claimed, and callers would
-	// wait for one that never comes; drafts and lookups need no store.
-	It("serves drafts and lookups, and refuses holds at once, while the store is out", func() {
-		f := start(hanbit())
+	// Guards against callers waiting for holds during an outage of the platform's
+	// store: without the store no hold can be claimed. Completions and lookups need
+	// no store.
+	It("serves completions and lookups, and rejects holds immediately, while the store is unavailable", func() {
+		f := start(smallFleet())
 		l := f.StartLoad()
 		expectRecovery(l)
 		Expect(f.SetPlatformFaults(context.Background(), objectstore.Faults{Unavailable: true})).To(Succeed())
-		time.Sleep(faultTime)
-		refused := fleet.PlaceHold(f.URL("entry-1"), "during the outage", "during the outage")
-		Expect(refused.Answer.Verdict).To(Equal("not_run"), refused.Answer.Body)
-		Expect(refused.Answer.Header.Get("Retry-After")).NotTo(BeEmpty())
+		time.Sleep(faultDuration)
+		rejected := fleet.PlaceHold(f.URL("entry-1"), "during the outage", "during the outage")
+		Expect(rejected.Answer.Verdict).To(Equal("not_run"), rejected.Answer.Body)
+		Expect(rejected.Answer.Header.Get("Retry-After")).NotTo(BeEmpty())
 		expectCalls(l, fleet.Draft, fleet.Stream, fleet.LookUp)
 		Expect(f.SetPlatformFaults(context.Background(), objectstore.Faults{})).To(Succeed())
 		expectRecovery(l)
-		expectPromises(f, l.Stop())
+		expectGuarantees(f, l.Stop())
 	})
 
-	// The store writes claims but its replies are lost, or it writes them late.
-	// A sidecar that took silence for failure would let the key be claimed
-	// again.
-	DescribeTable("places holds once when the store's replies are lost", func(faults objectstore.Faults) {
-		f := start(hanbit())
+	// Guards against treating a claim without a reply as failed, which would let
+	// the key be claimed again: the store writes claims but loses its replies, or
+	// writes them late.
+	DescribeTable("places holds once when the store's replies are lost or late", func(faults objectstore.Faults) {
+		f := start(smallFleet())
 		l := f.StartLoad()
 		expectRecovery(l)
 		Expect(f.SetPlatformFaults(context.Background(), faults)).To(Succeed())
-		time.Sleep(faultTime)
+		time.Sleep(faultDuration)
 		Expect(f.SetPlatformFaults(context.Background(), objectstore.Faults{})).To(Succeed())
 		expectRecovery(l)
-		expectPromises(f, l.Stop())
+		expectGuarantees(f, l.Stop())
 	},
 		Entry("lost replies", objectstore.Faults{LoseReplies: true}),
 		Entry("late writes", objectstore.Faults{LateWritesMS: 400}),
--- a/test/e2e/load_test.go
+++ b/test/e2e/load_test.go
@@ -11,7 +11,8 @@
 	"pistachioroad.dev/pistachioroad/test/fleet"
 )
 
-// holdRuns returns how often each hold ran, over all booking services.
+// holdRuns returns how often each hold ran, summed over the backend servers of the
+// service.
 func holdRuns(f *fleet.Fleet) map[string]int {
 	runs := map[string]int{}
 	for _, name := range f.Services["holds"] {
@@ -24,25 +25,25 @@
 	return runs
 }
 
-// expectPromises checks what must hold whatever failed: answers are whole and
-// the caller's own, holds ran at most once, "not run" and "ran" are true, and
-// no engine saw what it must never see.
-func expectPromises(f *fleet.Fleet, results []fleet.Result) {
+// expectGuarantees checks what must hold under any fault: successful answers are
+// correct, holds ran at most once, the verdicts "not_run" and "ran" are true, and
+// no engine recorded a violation.
+func expectGuarantees(f *fleet.Fleet, results []fleet.Result) {
 	GinkgoHelper()
 	runs := holdRuns(f)
 	for subject, n := range runs {
 		Expect(n).To(BeNumerically("<=", 1), "runs of %s", subject)
 	}
 	for _, r := range results {
-		Expect(r.Wrong).To(BeFalse(), "wrong answer: %s", r)
+		Expect(r.Incorrect).To(BeFalse(), "wrong answer: %s", r)
 		if r.Kind != fleet.Hold {
 			continue
 		}
 		switch r.Answer.Verdict {
 		case "not_run":
-			Expect(runs[r.Subject]).To(BeZero(), "%s was told not_run: %s", r.Subject, r.Answer.Body)
+			Expect(runs[r.Subject]).To(BeZero(), "%s was answered with verdict not_run: %s", r.Subject, r.Answer.Body)
 		case "ran":
-			Expect(runs[r.Subject]).To(Equal(1), "%s was told ran", r.Subject)
+			Expect(runs[r.Subject]).To(Equal(1), "%s was answered with verdict ran", r.Subject)
 		}
 	}
 	expectNoViolations(f)
@@ -57,34 +58,36 @@
 	}
 }
 
-// expectNoneFailed checks that every call of every kind went well.
+// expectNoneFailed checks that no call failed and that there were calls of every
+// kind.
 func expectNoneFailed(results []fleet.Result) {
 	GinkgoHelper()
 	failed := lo.Filter(results, func(r fleet.Result, _ int) bool { return !r.OK() })
-	Expect(failed).To(BeEmpty(), "%d of %d failed, such as:\n%s", len(failed), len(results), someOf(failed))
+	Expect(failed).To(BeEmpty(), "%d of %d calls failed, for example:\n%s", len(failed), len(results), describeFirst(failed))
 	byKind := lo.CountValuesBy(results, func(r fleet.Result) fleet.Kind { return r.Kind })
 	for _, kind := range fleet.Kinds {
 		Expect(byKind[kind]).To(BeNumerically(">", 0), "calls of kind %s", kind)
 	}
 }
 
-// someOf describes the first few results.
-func someOf(results []fleet.Result) string {
+// describeFirst describes the first five results.
+func describeFirst(results []fleet.Result) string {
 	lines := lo.Map(lo.Slice(results, 0, 5), func(r fleet.Result, _ int) string { return r.String() })
 	return strings.Join(lines, "\n")
 }
 
-// expectRecovery checks that each kind of call goes well again by itself.
+// expectRecovery waits until calls of every kind succeed.
 func expectRecovery(l *fleet.Load) {
 	GinkgoHelper()
 	expectCalls(l, fleet.Kinds...)
 }
 
-// expectCalls checks that calls of some kinds go well now.
+// expectCalls waits until more than five further calls of each of the kinds have
+// succeeded.
 func expectCalls(l *fleet.Load, kinds ...fleet.Kind) {
 	GinkgoHelper()
 	for _, kind := range kinds {
 		before := l.Count(kind)
-		Eventually(func() int { return l.Count(kind) }, soon, "50ms").Should(BeNumerically(">", before+5), string(kind))
+		Eventually(func() int { return l.Count(kind) }, eventuallyTimeout, "50ms").Should(BeNumerically(">", before+5), string(kind))
 	}
 }
--- a/test/e2e/planned_test.go
+++ b/test/e2e/planned_test.go
@@ -18,42 +18,43 @@
 )
 
 const (
-	// balancerLag is how long the balancer goes on sending to an entry that is
-	// not ready.
+	// balancerLag is how long the load balancer continues to send calls to an entry
+	// that is not ready.
 	balancerLag = time.Second
-	// noNewWorkAfter is by when a leaving backend server gets no new work.
+	// noNewWorkAfter is the time within which a backend server that is drained or
+	// leaving must stop getting new work.
 	noNewWorkAfter = 5 * time.Second
 	stopTimeout    = 60 * time.Second
 )
 
-// expectNothingCut allows for refusals that are certainly not run and say when
-// to come back; every other failure cut a request.
-func expectNothingCut(results []fleet.Result) {
+// expectNothingInterrupted checks that every call either succeeded or was rejected
+// as not run with a Retry-After header, and that more than half succeeded.
+func expectNothingInterrupted(results []fleet.Result) {
 	GinkgoHelper()
-	cut := lo.Filter(results, func(r fleet.Result, _ int) bool { return !r.OK() && !r.Refused() })
-	Expect(cut).To(BeEmpty(), "%d of %d were cut, such as:\n%s", len(cut), len(results), someOf(cut))
+	interrupted := lo.Filter(results, func(r fleet.Result, _ int) bool { return !r.OK() && !r.Rejected() })
+	Expect(interrupted).To(BeEmpty(), "%d of %d calls were interrupted, for example:\n%s", len(interrupted), len(results), describeFirst(interrupted))
 	Expect(lo.CountBy(results, fleet.Result.OK)).To(BeNumerically(">", len(results)/2))
 }
 
 var _ = Describe("A planned change", func() {
-	// Operators set new weights for the whole fleet while drafts stream. Loaded
-	// at once or without waiting for the streams, they would cut them.
-	It("loads new weights everywhere and cuts nothing", func() {
-		f := start(hanbit())
+	// Guards against interrupted streams: operators set new weights for the whole
+	// fleet under load, and the engines load them concurrently or without waiting
+	// for their streams to finish.
+	It("loads new weights on every engine without interrupting a call", func() {
+		f := start(smallFleet())
 		l := f.StartLoad()
 		expectRecovery(l)
 		mustTool(f, "entry-1", "defaults", "set", "weights=2")
 		expectWeights(f, "2")
 		expectRecovery(l)
 		results := l.Stop()
-		expectNothingCut(results)
-		expectPromises(f, results)
+		expectNothingInterrupted(results)
+		expectGuarantees(f, results)
 	})
 
-	// Every process is replaced in turn while callers go on, as on any ordinary
-	// day.
-	It("restarts every process in turn and cuts nothing", func() {
-		o := hanbit()
+	// Rolling restart: every process is replaced in turn under load.
+	It("restarts every process in turn without interrupting a call", func() {
+		o := smallFleet()
 		o.ModifySettings = func(s *settings.Settings) {
 			if s.Entry != nil {
 				s.Entry.BalancerLag = balancerLag
@@ -67,30 +68,29 @@
 			expectRecovery(l)
 		}
 		results := l.Stop()
-		expectNothingCut(results)
-		expectPromises(f, results)
+		expectNothingInterrupted(results)
+		expectGuarantees(f, results)
 	})
 
-	// An operator drains an engine and later takes it back.
-	It("drains a backend server, which then gets no work, and takes it back", func() {
-		f := start(hanbit())
+	It("gives a drained backend server no new work until it is undrained", func() {
+		f := start(smallFleet())
 		l := f.StartLoad()
 		expectRecovery(l)
 		mustTool(f, "entry-2", "drain", "engine-1", "-reason", "new accelerator", "-author", "e2e")
 		expectNoNewWork(f, l, "engine-1")
 		mustTool(f, "entry-1", "undrain", "engine-1", "-author", "e2e")
 		before := engineRuns(f, "engine-1")
-		Eventually(func() int { return engineRuns(f, "engine-1") }, soon, "100ms").Should(BeNumerically(">", before))
+		Eventually(func() int { return engineRuns(f, "engine-1") }, eventuallyTimeout, "100ms").Should(BeNumerically(">", before))
 		results := l.Stop()
-		expectNothingCut(results)
-		expectPromises(f, results)
+		expectNothingInterrupted(results)
+		expectGuarantees(f, results)
 	})
 
-	// The platform marks a VM as leaving. Work that is still sent there is lost
-	// with it. The list lags, and the store may be out or the link silent at the
-	// same time.
+	// Guards against sending work to a VM that the platform has marked as leaving,
+	// where it would be lost. The VM list lags, and the store may be unavailable or
+	// the link unresponsive at the same time.
 	DescribeTable("gives a leaving backend server no new work", func(fault func(*fleet.Fleet)) {
-		f := start(hanbit())
+		f := start(smallFleet())
 		l := f.StartLoad()
 		expectRecovery(l)
 		for i := range f.VMs {
@@ -101,23 +101,23 @@
 		Expect(f.PublishVMs(context.Background())).To(Succeed())
 		fault(f)
 		expectNoNewWork(f, l, "engine-2")
-		expectPromises(f, l.Stop())
+		expectGuarantees(f, l.Stop())
 	},
-		Entry("by the VM list", func(*fleet.Fleet) {}),
-		Entry("by the VM list and a silent link", func(f *fleet.Fleet) {
-			f.Proxies["engine-2"].Set(faultproxy.Mode{SilenceNew: true})
+		Entry("known from the VM list", func(*fleet.Fleet) {}),
+		Entry("known from the VM list, with an unresponsive link", func(f *fleet.Fleet) {
+			f.Proxies["engine-2"].Set(faultproxy.Mode{BlackholeNew: true})
 			f.Proxies["engine-2"].BlackholeExisting()
 		}),
-		Entry("by its own word, with the platform out", func(f *fleet.Fleet) {
+		Entry("known from its own announcement, with the platform unavailable", func(f *fleet.Fleet) {
 			Expect(f.SetPlatformFaults(context.Background(), objectstore.Faults{Unavailable: true})).To(Succeed())
 			f.Processes["engine-2"].Terminate()
 		}),
 	)
 
-	// A second sidecar is started on a VM by mistake. Two of them would order
-	// one engine.
+	// Guards against two sidecars that give orders to one engine: a second one is
+	// started on the VM by mistake.
 	It("does not start a second sidecar on one VM", func() {
-		f := start(hanbit())
+		f := start(smallFleet())
 		second := exec.Command(filepath.Join(bin, "pistachioroadd"), "-settings", filepath.Join(filepath.Dir(f.TokenFile()), "engine-1.yaml"))
 		output, err := second.CombinedOutput()
 		Expect(err).To(HaveOccurred(), string(output))
@@ -126,20 +126,21 @@
 	})
 })
 
-// restart replaces one process as its supervisor would: SIGTERM, and for an
-// entry the balancer follows its readiness.
+// restart restarts one process gracefully with SIGTERM. If it is an entry, callers
+// stop using it shortly after the signal, as the load balancer does for an entry
+// that is not ready.
 func restart(f *fleet.Fleet, l *fleet.Load, name string) {
 	GinkgoHelper()
 	p := f.Processes[name]
 	p.Terminate()
 	if lo.Contains(f.Entries, name) {
 		time.Sleep(balancerLag / 4)
-		l.Balance(lo.Without(f.Entries, name)...)
+		l.SetEntries(lo.Without(f.Entries, name)...)
 	}
 	Expect(p.Wait(stopTimeout)).To(Equal(exitDone), name)
 	Expect(p.Restart()).To(Succeed())
 	Expect(p.WaitReady(context.Background())).To(Succeed())
-	l.Balance(f.Entries...)
+	l.SetEntries(f.Entries...)
 }
 
 func engineRuns(f *fleet.Fleet, name string) int {
@@ -149,24 +150,24 @@
 	return len(record.Runs)
 }
 
-// expectNoNewWork waits out the time that a change may take, then checks that
-// an engine gets no work while the others go on.
+// expectNoNewWork waits for noNewWorkAfter, then checks that an engine gets no
+// work while calls continue to succeed on the others.
 func expectNoNewWork(f *fleet.Fleet, l *fleet.Load, name string) {
 	GinkgoHelper()
 	time.Sleep(noNewWorkAfter)
-	before, others := engineRuns(f, name), l.Count(fleet.Draft)
+	before, succeeded := engineRuns(f, name), l.Count(fleet.Draft)
 	time.Sleep(2 * time.Second)
 	Expect(engineRuns(f, name)).To(Equal(before))
-	Expect(l.Count(fleet.Draft)).To(BeNumerically(">", others))
+	Expect(l.Count(fleet.Draft)).To(BeNumerically(">", succeeded))
 }
 
 var _ = Describe("Configuration", func() {
-	// Two operators edit the same version at the same moment through two
-	// entries. If both were accepted, one edit would vanish without a trace.
-	It("accepts one of two racing edits and shows the other operator both values", func() {
-		f := start(hanbit())
+	// Guards against lost edits: two operators edit the same version concurrently
+	// through two entries, and one edit overwrites the other if both are accepted.
+	It("accepts one of two concurrent edits and shows the other operator both values", func() {
+		f := start(smallFleet())
 		mustTool(f, "entry-1", "defaults", "set", "retry_share=0.08", "-author", "first")
-		version := expectInForce(f, 0)
+		version := expectConfigActive(f, 0)
 		type outcome struct {
 			output string
 			status int
@@ -184,69 +185,71 @@
 		Expect([]int{a.status, b.status}).To(ConsistOf(exitDone, exitConflict), a.output+b.output)
 		loser := lo.Ternary(a.status == exitConflict, a, b)
 		Expect(loser.output).To(ContainSubstring("role_change_cost"))
-		expectInForce(f, version)
+		expectConfigActive(f, version)
 	})
 
-	// The store goes out right after an edit, and processes restart meanwhile.
-	// One that came up with an older configuration would take its engine back.
-	It("never reverts through an outage and restarts", func() {
-		f := start(hanbit())
+	// Guards against a process that starts with an older configuration and reverts
+	// its engine: the store becomes unavailable right after an edit, and processes
+	// are restarted during the outage.
+	It("never reverts the configuration when processes restart during a store outage", func() {
+		f := start(smallFleet())
 		mustTool(f, "entry-1", "defaults", "set", "weights=2")
-		version := expectInForce(f, 0)
+		version := expectConfigActive(f, 0)
 		expectWeights(f, "2")
 		Expect(f.SetPlatformFaults(context.Background(), objectstore.Faults{Unavailable: true})).To(Succeed())
 		output, exit := tool(f, "entry-1", "defaults", "set", "weights=3")
-		Expect(exit).To(Equal(exitStore), output)
+		Expect(exit).To(Equal(exitStoreUnavailable), output)
 		for _, name := range []string{"engine-1", "holds-1"} {
 			f.Processes[name].Kill()
 			Expect(f.Processes[name].Restart()).To(Succeed())
 		}
-		Eventually(func() map[string]uint64 { return versions(f) }, soon, "200ms").Should(
+		Eventually(func() map[string]uint64 { return configVersions(f) }, eventuallyTimeout, "200ms").Should(
 			And(HaveLen(len(f.VMs)), HaveEach(version)))
 		Expect(f.SetPlatformFaults(context.Background(), objectstore.Faults{})).To(Succeed())
 		Eventually(func() int {
 			_, exit := tool(f, "entry-1", "defaults", "set", "weights=3")
 			return exit
-		}, soon, "500ms").Should(Equal(exitDone))
+		}, eventuallyTimeout, "500ms").Should(Equal(exitDone))
 		expectWeights(f, "3")
-		expectInForce(f, version)
+		expectConfigActive(f, version)
 		expectNoViolations(f)
 	})
 
-	// An entry is replaced while the platform is out: neither the VM list nor
-	// the store can be read. Without its peers it would stay useless for as long
-	// as the outage lasts, and entries replaced one by one would all be lost.
-	It("serves from a fresh entry while the platform is out", func() {
-		f := start(hanbit())
+	// Guards against a restarted entry that cannot serve during a platform outage,
+	// when neither the VM list nor the store can be read: a rolling restart would
+	// lose all entries. The entry gets the state from its peers.
+	It("serves from a restarted entry while the platform is unavailable", func() {
+		f := start(smallFleet())
 		mustTool(f, "entry-1", "defaults", "set", "retry_share=0.05")
-		version := expectInForce(f, 0)
+		version := expectConfigActive(f, 0)
 		Expect(f.SetPlatformFaults(context.Background(), objectstore.Faults{Unavailable: true})).To(Succeed())
 		f.Processes["entry-2"].Kill()
 		Expect(f.Processes["entry-2"].Restart()).To(Succeed())
-		Eventually(func() map[string]uint64 { return versions(f) }, soon, "200ms").Should(
+		Eventually(func() map[string]uint64 { return configVersions(f) }, eventuallyTimeout, "200ms").Should(
 			And(HaveLen(len(f.VMs)), HaveEach(version)))
 		l := f.StartLoad()
-		l.Balance("entry-2")
+		l.SetEntries("entry-2")
 		expectCalls(l, fleet.Draft, fleet.Stream, fleet.LookUp)
 		l.Stop()
 	})
 
-	// The entry that plans is paused until its lease has lapsed and another has
-	// taken over, and then wakes up believing that it still plans.
-	It("follows one planner though the former one wakes up", func() {
-		f := start(hanbit())
+	// Guards against two active planners: the entry that holds the planner lease is
+	// paused until the lease has expired and another has taken over, and resumes
+	// with the state of a lease holder.
+	It("follows only the new planner when the former one resumes", func() {
+		f := start(smallFleet())
 		l := f.StartLoad()
-		Eventually(func() string { return status(f, "entry-1").Planner }, soon, "100ms").ShouldNot(BeEmpty())
+		Eventually(func() string { return status(f, "entry-1").Planner }, eventuallyTimeout, "100ms").ShouldNot(BeEmpty())
 		former := status(f, "entry-1").Planner
 		other := lo.Without(f.Entries, former)[0]
-		l.Balance(other)
+		l.SetEntries(other)
 		f.Processes[former].Pause()
-		Eventually(func() string { return status(f, other).Planner }, soon, "200ms").Should(Equal(other))
+		Eventually(func() string { return status(f, other).Planner }, eventuallyTimeout, "200ms").Should(Equal(other))
 		mustTool(f, other, "defaults", "set", "weights=2")
 		f.Processes[former].Resume()
 		expectWeights(f, "2")
 		expectRecovery(l)
-		Eventually(func() string { return status(f, former).Planner }, soon, "200ms").Should(Equal(other))
-		expectPromises(f, l.Stop())
+		Eventually(func() string { return status(f, former).Planner }, eventuallyTimeout, "200ms").Should(Equal(other))
+		expectGuarantees(f, l.Stop())
 	})
 })
--- a/test/e2e/suite_test.go
+++ b/test/e2e/suite_test.go
@@ -1,5 +1,5 @@
-// Package e2e_test proves the promises with real processes behind a
-// fault-injecting proxy. Every spec has a fleet of its own.
+// Package e2e_test tests the guarantees of the system with real processes behind
+// fault-injecting proxies. Every spec starts its own fleet.
 package e2e_test
 
 import (
@@ -17,10 +17,11 @@
 	"pistachioroad.dev/pistachioroad/test/fleet"
 )
 
-// soon bounds what happens by itself; it is no claim about speed.
-const soon = 30 * time.Second
+// eventuallyTimeout bounds the wait for asynchronous changes. It is generous and
+// no performance requirement.
+const eventuallyTimeout = 30 * time.Second
 
-// bin is the folder of the programs built for this run.
+// bin is the directory of the programs built for this run.
 var bin string
 
 func TestEndToEnd(t *testing.T) {
@@ -43,8 +44,8 @@
 
 var _ = AfterSuite(gexec.CleanupBuildArtifacts)
 
-// start starts the fleet of one spec and stops it at its end. A failed spec
-// prints the end of each log.
+// start starts the fleet of one spec and stops it at the end of the spec. If the
+// spec fails, the end of each log is printed.
 func start(o fleet.Options) *fleet.Fleet {
 	o.Bin, o.Dir = bin, GinkgoT().TempDir()
 	o.Proxied = true
@@ -60,8 +61,8 @@
 	return f
 }
 
-// expectServing waits until the first plan of a new fleet is in force: before,
-// no sidecar owns a key slot and keyed calls are refused.
+// expectServing waits until the first plan of a new fleet is active. Until then no
+// sidecar owns a key slot, and calls with an idempotency key are rejected.
 func expectServing(f *fleet.Fleet) {
 	GinkgoHelper()
 	const probes = 32
@@ -70,7 +71,7 @@
 			probe := fmt.Sprintf("probe-%d", i)
 			Eventually(func() bool {
 				return fleet.PlaceHold(f.URL(entry), probe, probe).OK()
-			}, soon, "50ms").Should(BeTrue(), "%s through %s", probe, entry)
+			}, eventuallyTimeout, "50ms").Should(BeTrue(), "%s through %s", probe, entry)
 		}
 	}
 }
@@ -86,8 +87,9 @@
 	}
 }
 
-// hanbit is a small fleet of drafting engines and two booking services.
-func hanbit() fleet.Options {
+// smallFleet returns a fleet of two entries, three engines for one model and a
+// plain service with two backend servers.
+func smallFleet() fleet.Options {
 	return fleet.Options{
 		Entries: 2,
 		Engines: []fleet.Engine{
--- a/test/e2e/tool_test.go
+++ b/test/e2e/tool_test.go
@@ -20,12 +20,13 @@
 
 // The exit statuses of the operators' tool.
 const (
-	exitDone     = 0
-	exitConflict = 3
-	exitStore    = 5
+	exitDone             = 0
+	exitConflict         = 3
+	exitStoreUnavailable = 5
 )
 
-// tool runs the operators' tool against one entry.
+// tool runs the operators' tool against one entry and returns its output and exit
+// status.
 func tool(f *fleet.Fleet, entry string, args ...string) (string, int) {
 	GinkgoHelper()
 	cmd := f.Tool(context.Background(), entry, args...)
@@ -39,7 +40,7 @@
 	return string(output), exitDone
 }
 
-// mustTool runs the tool and expects it to be done.
+// mustTool runs the tool and expects exit status 0.
 func mustTool(f *fleet.Fleet, entry string, args ...string) string {
 	GinkgoHelper()
 	output, status := tool(f, entry, args...)
@@ -54,9 +55,9 @@
 	return s
 }
 
-// versions returns the version of the fleet config in force at each process,
-// as the processes themselves tell the entries that they are linked to.
-func versions(f *fleet.Fleet) map[string]uint64 {
+// configVersions returns the active version of the fleet configuration by process,
+// as the processes report it to the entries that they are linked to.
+func configVersions(f *fleet.Fleet) map[string]uint64 {
 	GinkgoHelper()
 	found := map[string]uint64{}
 	for _, entry := range f.Entries {
@@ -69,23 +70,23 @@
 	return found
 }
 
-// expectInForce waits until all processes hold one version of the fleet config
-// above the one given, and returns it.
-func expectInForce(f *fleet.Fleet, above uint64) uint64 {
+// expectConfigActive waits until the same version of the fleet configuration,
+// higher than above, is active in all processes, and returns it.
+func expectConfigActive(f *fleet.Fleet, above uint64) uint64 {
 	GinkgoHelper()
 	var version uint64
 	Eventually(func(g Gomega) {
-		held := versions(f)
-		g.Expect(held).To(HaveLen(len(f.VMs)), "%v", held)
-		distinct := lo.Uniq(lo.Values(held))
-		g.Expect(distinct).To(HaveLen(1), "%v", held)
+		active := configVersions(f)
+		g.Expect(active).To(HaveLen(len(f.VMs)), "%v", active)
+		distinct := lo.Uniq(lo.Values(active))
+		g.Expect(distinct).To(HaveLen(1), "%v", active)
 		g.Expect(distinct[0]).To(BeNumerically(">", above))
 		version = distinct[0]
-	}, soon, "200ms").Should(Succeed())
+	}, eventuallyTimeout, "200ms").Should(Succeed())
 	return version
 }
 
-// engineStates returns what each engine says of itself.
+// engineStates returns the state that each engine reports.
 func engineStates(f *fleet.Fleet) []engine.State {
 	return lo.Map(f.Engines, func(name string, _ int) engine.State {
 		answer, err := fleet.Do(context.Background(), http.MethodGet, f.BackendURL(name)+"/state", nil, nil)
@@ -96,12 +97,12 @@
 	})
 }
 
-// expectWeights waits until every engine serves the weights.
+// expectWeights waits until every engine is ready with these weights.
 func expectWeights(f *fleet.Fleet, weights string) {
 	GinkgoHelper()
 	Eventually(func() []string {
 		return lo.Uniq(lo.Map(engineStates(f), func(s engine.State, _ int) string {
 			return lo.Ternary(s.Ready, s.Applied.Weights, "changing")
 		}))
-	}, 2*soon, "200ms").Should(Equal([]string{weights}))
+	}, 2*eventuallyTimeout, "200ms").Should(Equal([]string{weights}))
 }
--- a/test/faultproxy/faultproxy.go
+++ b/test/faultproxy/faultproxy.go
@@ -1,5 +1,5 @@
-// Package faultproxy is a TCP proxy that misbehaves on request. The tests put
-// it between two processes.
+// Package faultproxy is a TCP proxy that injects network faults between two
+// processes under test.
 package faultproxy
 
 import (
@@ -11,15 +11,15 @@
 	"github.com/rotisserie/eris"
 )
 
-// Mode says what a Proxy does with connections.
+// Mode selects the faults that a Proxy injects.
 type Mode struct {
-	// Cut closes all connections and refuses new ones.
+	// Cut closes all connections, and new ones as soon as they are accepted.
 	Cut bool
-	// SilenceNew swallows what new connections carry, from their first byte.
-	SilenceNew bool
-	// Delay holds each piece back, both ways.
+	// BlackholeNew discards all bytes of new connections and keeps them open.
+	BlackholeNew bool
+	// Delay is added before each write, in both directions.
 	Delay time.Duration
-	// DropToServer and DropToClient lose everything in one direction.
+	// DropToServer and DropToClient discard all bytes in one direction.
 	DropToServer bool
 	DropToClient bool
 }
@@ -29,6 +29,7 @@
 	address string
 	target  string
 
+	// toServer and toClient count received bytes by their direction.
 	toServer, toClient atomic.Int64
 
 	mu       sync.Mutex
@@ -40,8 +41,8 @@
 // conn is one connection through the proxy.
 type conn struct {
 	client, server net.Conn
-	// silent connections stay open and carry nothing any more.
-	silent bool
+	// blackholed connections stay open while all bytes are discarded.
+	blackholed bool
 }
 
 const (
@@ -49,26 +50,26 @@
 	bufferBytes = 32 << 10
 )
 
-// Listen starts a proxy on address, an IP number and a port.
+// Listen starts a proxy from address, given as IP:port, to target.
 func Listen(address, target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, eris.Wrap(err, "fault proxy")
+		return nil, eris.Wrap(err, "start fault proxy")
 	}
 	p := &Proxy{address: listener.Addr().String(), listener: listener, target: target, conns: map[*conn]struct{}{}}
 	go p.accept(listener)
 	return p, nil
 }
 
-// Down ends all connections and has new ones refused, as the end of the process behind
-// the proxy does.
+// Down closes the listener and all connections, as if the process behind the
+// proxy had exited.
 func (p *Proxy) Down() { p.Close() }
 
-// Up takes connections again after Down.
+// Up listens again after Down.
 func (p *Proxy) Up() error {
 	listener, err := net.Listen("tcp", p.address)
 	if err != nil {
-		return eris.Wrap(err, "fault proxy")
+		return eris.Wrap(err, "restart fault proxy")
 	}
 	p.mu.Lock()
 	p.listener = listener
@@ -77,11 +78,11 @@
 	return nil
 }
 
-// Set changes the mode for all connections, present and new.
+// Set changes the mode for existing and new connections.
 func (p *Proxy) Set(m Mode) {
 	p.mu.Lock()
 	p.mode = m
-	conns := p.snapshot()
+	conns := p.openConns()
 	p.mu.Unlock()
 	if m.Cut {
 		for _, c := range conns {
@@ -90,28 +91,29 @@
 	}
 }
 
-// SilencePresent swallows for good what the present connections carry, as when
-// a device between the two ends has lost track of them. New ones work.
+// BlackholeExisting permanently discards all bytes of the existing connections, as
+// a NAT or firewall does that has lost their state. New connections work.
 func (p *Proxy) BlackholeExisting() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
-		c.silent = true
+		c.blackholed = true
 	}
 }
 
-// Close ends the proxy and all connections.
+// Close closes the listener and all connections.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	_ = p.listener.Close()
-	conns := p.snapshot()
+	conns := p.openConns()
 	p.mu.Unlock()
 	for _, c := range conns {
 		c.close()
 	}
 }
 
-func (p *Proxy) snapshot() []*conn {
+// openConns returns all connections. The caller holds mu.
+func (p *Proxy) openConns() []*conn {
 	conns := make([]*conn, 0, len(p.conns))
 	for c := range p.conns {
 		conns = append(conns, c)
@@ -142,26 +144,26 @@
 		_ = client.Close()
 		return
 	}
-	c := &conn{client: client, server: server, silent: mode.SilenceNew}
+	c := &conn{client: client, server: server, blackholed: mode.BlackholeNew}
 	p.mu.Lock()
 	p.conns[c] = struct{}{}
 	p.mu.Unlock()
 
 	var both sync.WaitGroup
-	both.Go(func() { p.copy(c, server, client, &p.toServer, func(m Mode) bool { return m.DropToServer }) })
-	both.Go(func() { p.copy(c, client, server, &p.toClient, func(m Mode) bool { return m.DropToClient }) })
+	both.Go(func() { p.forward(c, server, client, &p.toServer, func(m Mode) bool { return m.DropToServer }) })
+	both.Go(func() { p.forward(c, client, server, &p.toClient, func(m Mode) bool { return m.DropToClient }) })
 	both.Wait()
 	p.mu.Lock()
 	delete(p.conns, c)
 	p.mu.Unlock()
 }
 
-// copy forwards one direction until either end closes. Bytes once lost are
-// never made up for, so the direction stays silent from then on.
-func (p *Proxy) copy(c *conn, to, from net.Conn, count *atomic.Int64, dropped func(Mode) bool) {
+// forward copies one direction until either end closes. Discarded bytes are never
+// delivered later, so after a loss it discards everything that follows.
+func (p *Proxy) forward(c *conn, to, from net.Conn, count *atomic.Int64, dropped func(Mode) bool) {
 	defer c.close()
 	buffer := make([]byte, bufferBytes)
-	lost := false
+	discard := false
 	for {
 		n, err := from.Read(buffer)
 		if err != nil {
@@ -169,10 +171,10 @@
 		}
 		count.Add(int64(n))
 		p.mu.Lock()
-		mode, silent := p.mode, c.silent
+		mode, blackholed := p.mode, c.blackholed
 		p.mu.Unlock()
-		lost = lost || silent || dropped(mode)
-		if lost {
+		discard = discard || blackholed || dropped(mode)
+		if discard {
 			continue
 		}
 		time.Sleep(mode.Delay)
@@ -187,10 +189,11 @@
 	_ = c.server.Close()
 }
 
-// Bytes returns how many bytes each end has sent.
+// Bytes returns the number of bytes received for each direction, including
+// discarded ones.
 func (p *Proxy) Bytes() (toServer, toClient int64) {
 	return p.toServer.Load(), p.toClient.Load()
 }
 
-// Address returns the IP number and port that the proxy listens on.
+// Address returns the IP:port that the proxy listens on.
 func (p *Proxy) Address() string { return p.address }
--- a/test/fleet/fleet.go
+++ b/test/fleet/fleet.go
@@ -1,8 +1,8 @@
 // Package fleet starts a small fleet of real processes on loopback: stand-ins,
-// entries and sidecars. Tests, the quick start and the benchmark share it.
+// entries and sidecars. Tests, the quick start and the benchmark use it.
 //
-// Each VM has an IP number of its own within 127.0.0.0/8, so that fleets that
-// run side by side never meet.
+// Each VM has its own IP address in 127.0.0.0/8, so that fleets running
+// concurrently do not collide.
 package fleet
 
 import (
@@ -22,7 +22,7 @@
 	"pistachioroad.dev/pistachioroad/test/faultproxy"
 )
 
-// The ports of a VM.
+// The ports of a VM's address.
 const (
 	portPlatform  = 7000
 	portLinks     = 7100
@@ -36,30 +36,32 @@
 	Role    string
 	Model   string
 	Fencing bool
-	// Args are further arguments of the stand-in.
+	// Args are additional arguments of the stand-in.
 	Args []string
 }
 
-// Options says what to start.
+// Options configures a fleet.
 type Options struct {
-	// Bin has the programs, Dir gets the settings and logs.
+	// Bin is the directory of the programs. Settings and logs are written to Dir.
 	Bin string
 	Dir string
-	// Region and DataCentres default to Hanbit's; VMs take turns in them.
+	// Region and DataCentres default to one region with four data centres. VMs
+	// are distributed over the data centres round-robin.
 	Region      string
 	DataCentres []string
 	Entries     int
 	Engines     []Engine
-	// Services has the number of backend servers of each plain service.
+	// Services is the number of backend servers by name of the plain service.
 	Services map[string]int
-	// ServiceArgs are further arguments of the plain services' stand-in.
+	// ServiceArgs are additional arguments of the plain services' stand-in.
 	ServiceArgs []string
-	// SharedBackends lets all backend servers of a service be one process, for
-	// fleets whose sidecars count and whose work does not.
+	// SharedBackends runs one backend process per service for all its sidecars,
+	// for runs with many sidecars and little work.
 	SharedBackends bool
-	// Proxied puts a fault proxy before each VM's links and before the platform.
+	// Proxied puts a fault proxy in front of each VM's link address and of the
+	// platform.
 	Proxied bool
-	// Tune changes settings before they are written.
+	// ModifySettings modifies the settings of each daemon before they are written.
 	ModifySettings func(*settings.Settings)
 }
 
@@ -67,37 +69,39 @@
 type Fleet struct {
 	options   Options
 	Processes map[string]*Process
-	// Proxies is keyed by the name of the VM behind; "platform" has its own.
+	// Proxies are the fault proxies by the name of the VM behind them; the
+	// platform's is under "platform".
 	Proxies map[string]*faultproxy.Proxy
 	VMs     []sharedstate.VM
 	Entries []string
-	// Engines and Services have the names of backend servers in order.
+	// Engines and Services are the names of the backend servers in start order.
 	Engines  []string
 	Services map[string][]string
 
-	subnet  string
-	nextIP  int
-	ips     map[string]string
-	shared  map[string]string
-	started []*Process
+	// subnet is the first three octets of the fleet's addresses.
+	subnet         string
+	nextIP         int
+	ips            map[string]string
+	sharedBackends map[string]string
+	started        []*Process
 }
 
 // Token is the operator token of every fleet.
 const Token = "loopback-operator-token"
 
-// fleets counts the fleets of this process.
+// fleets counts the fleets started by this process.
 var fleets atomic.Uint32
 
-// Start starts a fleet and waits until all of it is ready.
+// Start starts a fleet and waits until all its processes are ready.
 func Start(ctx context.Context, o Options) (*Fleet, error) {
 	f := &Fleet{
-		options:   withDefaults(o),
-		Processes: map[string]*Process{},
-		Proxies:   map[string]*faultproxy.Proxy{},
-		Services:  map[string][]string{},
-		ips:       map[string]string{},
-		shared:    map[string]string{},
-		subnet:    subnet(os.Getpid(), int(fleets.Add(1))),
+		options:        withDefaults(o),
+		Processes:      map[string]*Process{},
+		Proxies:        map[string]*faultproxy.Proxy{},
+		Services:       map[string][]string{},
+		ips:            map[string]string{},
+		sharedBackends: map[string]string{},
+		subnet:         subnet(os.Getpid(), int(fleets.Add(1))),
 	}
 	if err := f.start(ctx); err != nil {
 		f.Stop()
@@ -106,12 +110,13 @@
 	return f, nil
 }
 
-// With runs f on a fleet of its own, whose settings and logs go with it.
+// Run starts a fleet, runs f on it and stops it. Settings and logs are written
+// to a temporary directory that is removed at the end.
 func Run(o Options, f func(context.Context, *Fleet) error) error {
 	ctx := context.Background()
 	dir, err := os.MkdirTemp("", "pistachioroad-")
 	if err != nil {
-		return eris.Wrap(err, "folder for settings and logs")
+		return eris.Wrap(err, "create directory for settings and logs")
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	o.Dir = dir
@@ -131,16 +136,17 @@
 	return o
 }
 
-// subnet returns the first three numbers of the fleet's addresses.
+// subnet derives the first three octets of a fleet's addresses from the process
+// id and the number of the fleet.
 func subnet(pid, fleet int) string {
-	const firstNumber, numbers = 16, 200
+	const firstOctet, octets = 16, 200
 	n := pid*7 + fleet
-	return fmt.Sprintf("127.%d.%d", firstNumber+n/250%numbers, n%250)
+	return fmt.Sprintf("127.%d.%d", firstOctet+n/250%octets, n%250)
 }
 
 func (f *Fleet) start(ctx context.Context) error {
 	if err := os.WriteFile(f.tokenFile(), []byte(Token+"\n"), 0o600); err != nil {
-		return eris.Wrap(err, "token file")
+		return eris.Wrap(err, "write operator token file")
 	}
 	if err := f.startPlatform(ctx); err != nil {
 		return err
@@ -163,7 +169,7 @@
 	daemons := []*Process{}
 	for _, vm := range f.VMs {
 		p := f.Processes[vm.Name]
-		if err := f.run(p); err != nil {
+		if err := f.startProcess(p); err != nil {
 			return err
 		}
 		daemons = append(daemons, p)
@@ -177,13 +183,13 @@
 }
 
 func (f *Fleet) startPlatform(ctx context.Context) error {
-	address := f.address(f.ip(platformName), portPlatform)
-	p := f.process(platformName, "standin", "http://"+address+"/standin/calls",
+	address := f.address(f.allocateIP(platformName), portPlatform)
+	p := f.addProcess(platformName, "standin", "http://"+address+"/standin/calls",
 		"-kind", "platform", "-address", address)
-	if err := f.run(p); err != nil {
+	if err := f.startProcess(p); err != nil {
 		return err
 	}
-	if err := f.proxy(platformName, portPlatform, address); err != nil {
+	if err := f.addProxy(platformName, portPlatform, address); err != nil {
 		return err
 	}
 	return p.WaitReady(ctx)
@@ -211,15 +217,15 @@
 	return nil
 }
 
-// addBackend starts a backend server and prepares its sidecar.
+// addBackend starts a backend server and adds its sidecar, which is started later.
 func (f *Fleet) addBackend(ctx context.Context, name, service, ready string, fencing bool, args []string) error {
-	ip := f.ip(name)
+	ip := f.allocateIP(name)
 	address, err := f.startBackend(ctx, name, service, ready, args)
 	if err != nil {
 		return err
 	}
-	vm := f.vm(name, ip, sharedstate.VMBackend, service)
-	s := f.settings(vm, ip)
+	vm := f.newVM(name, ip, sharedstate.VMBackend, service)
+	s := f.baseSettings(vm, ip)
 	s.Sidecar = &settings.Sidecar{BackendServer: settings.BackendServer{
 		Service:            service,
 		Address:            address,
@@ -229,27 +235,28 @@
 	return f.addDaemon(vm, s)
 }
 
-// startBackend starts the backend server of a VM, or returns the address of the
-// one that the VMs of its service share.
+// startBackend starts the backend server of a VM and returns its address. With
+// SharedBackends it starts only the first one of a service and returns the
+// address of that one for the others.
 func (f *Fleet) startBackend(ctx context.Context, name, service, ready string, args []string) (string, error) {
-	if address, ok := f.shared[service]; ok {
+	if address, ok := f.sharedBackends[service]; ok {
 		return address, nil
 	}
 	address := f.address(f.ips[name], portBackend)
-	backend := f.process(BackendProcess(name), "standin", "http://"+address+ready, append(args, "-address", address)...)
-	if err := f.run(backend); err != nil {
+	backend := f.addProcess(BackendProcess(name), "standin", "http://"+address+ready, append(args, "-address", address)...)
+	if err := f.startProcess(backend); err != nil {
 		return "", err
 	}
 	if f.options.SharedBackends {
-		f.shared[service] = address
+		f.sharedBackends[service] = address
 	}
 	return address, backend.WaitReady(ctx)
 }
 
 func (f *Fleet) addEntry(name string) error {
-	ip := f.ip(name)
-	vm := f.vm(name, ip, sharedstate.VMEntry, "")
-	s := f.settings(vm, ip)
+	ip := f.allocateIP(name)
+	vm := f.newVM(name, ip, sharedstate.VMEntry, "")
+	s := f.baseSettings(vm, ip)
 	s.Listen.Callers = f.address(ip, portCallers)
 	s.Entry = &settings.Entry{
 		Models:      f.models(),
@@ -271,8 +278,8 @@
 	return lo.Uniq(models)
 }
 
-// vm returns the line of the VM list for a VM of the fleet.
-func (f *Fleet) vm(name, ip string, kind sharedstate.VMKind, service string) sharedstate.VM {
+// newVM returns the VM list item of a new VM of the fleet.
+func (f *Fleet) newVM(name, ip string, kind sharedstate.VMKind, service string) sharedstate.VM {
 	return sharedstate.VM{
 		Name:            name,
 		Kind:            kind,
@@ -284,7 +291,7 @@
 	}
 }
 
-func (f *Fleet) settings(vm sharedstate.VM, ip string) settings.Settings {
+func (f *Fleet) baseSettings(vm sharedstate.VM, ip string) settings.Settings {
 	role := settings.RoleSidecar
 	if vm.Kind == sharedstate.VMEntry {
 		role = settings.RoleEntry
@@ -305,10 +312,11 @@
 	}
 }
 
-// addDaemon writes the settings of a daemon and prepares its process.
+// addDaemon writes the settings of a daemon and adds its process without
+// starting it.
 func (f *Fleet) addDaemon(vm sharedstate.VM, s settings.Settings) error {
 	if f.options.Proxied {
-		if err := f.proxy(vm.Name, portLinks, vm.LinkAddress); err != nil {
+		if err := f.addProxy(vm.Name, portLinks, vm.LinkAddress); err != nil {
 			return err
 		}
 		vm.LinkAddress = f.proxyAddress(vm.Name)
@@ -318,40 +326,40 @@
 	}
 	data, err := yaml.Marshal(s)
 	if err != nil {
-		return eris.Wrap(err, "settings of "+vm.Name)
+		return eris.Wrap(err, "encode settings of "+vm.Name)
 	}
 	path := filepath.Join(f.options.Dir, vm.Name+".yaml")
 	if err := os.WriteFile(path, data, 0o644); err != nil {
-		return eris.Wrap(err, "settings of "+vm.Name)
+		return eris.Wrap(err, "write settings of "+vm.Name)
 	}
 	f.VMs = append(f.VMs, vm)
-	f.process(vm.Name, "pistachioroadd", "http://"+vm.OperatorAddress+"/readyz", "-settings", path)
+	f.addProcess(vm.Name, "pistachioroadd", "http://"+vm.OperatorAddress+"/readyz", "-settings", path)
 	return nil
 }
 
-func (f *Fleet) process(name, program, ready string, args ...string) *Process {
+func (f *Fleet) addProcess(name, program, ready string, args ...string) *Process {
 	p := &Process{
-		Name:    name,
-		program: filepath.Join(f.options.Bin, program),
-		args:    args,
-		dir:     f.options.Dir,
-		ready:   ready,
+		Name:     name,
+		program:  filepath.Join(f.options.Bin, program),
+		args:     args,
+		dir:      f.options.Dir,
+		readyURL: ready,
 	}
 	f.Processes[name] = p
 	return p
 }
 
-func (f *Fleet) run(p *Process) error {
+func (f *Fleet) startProcess(p *Process) error {
 	f.started = append(f.started, p)
 	return p.start()
 }
 
-// proxy puts a fault proxy before a process, if the fleet has any.
-func (f *Fleet) proxy(name string, port int, target string) error {
+// addProxy puts a fault proxy in front of a process if Proxied is set.
+func (f *Fleet) addProxy(name string, port int, target string) error {
 	if !f.options.Proxied {
 		return nil
 	}
-	p, err := faultproxy.Listen(f.address(f.ip("proxy of "+name), port), target)
+	p, err := faultproxy.Listen(f.address(f.allocateIP("proxy of "+name), port), target)
 	if err != nil {
 		return err
 	}
@@ -368,7 +376,7 @@
 	return f.address(f.ips[platformName], portPlatform)
 }
 
-// Stop ends all processes of the fleet.
+// Stop kills all processes of the fleet and closes its proxies.
 func (f *Fleet) Stop() {
 	for _, p := range f.started {
 		if p.cmd != nil {
@@ -381,15 +389,15 @@
 	}
 }
 
-// BackendProcess returns the name of the process of a backend server; its
-// sidecar's process has the name of the VM.
+// BackendProcess returns the process name of the backend server on a VM. The
+// sidecar's process is named after the VM itself.
 func BackendProcess(vm string) string { return vm + "-backend" }
 
-// platformName is the name of the platform's process and proxy.
+// platformName is the name of the platform's process and of its proxy.
 const platformName = "platform"
 
-// ip returns an IP number of its own for name.
-func (f *Fleet) ip(name string) string {
+// allocateIP assigns the next IP address of the fleet to name.
+func (f *Fleet) allocateIP(name string) string {
 	f.nextIP++
 	f.ips[name] = fmt.Sprintf("%s.%d", f.subnet, f.nextIP)
 	return f.ips[name]
--- a/test/fleet/load.go
+++ b/test/fleet/load.go
@@ -17,7 +17,8 @@
 // Kind is a kind of call.
 type Kind string
 
-// The kinds of call: a draft, the same streamed, a keyed hold and a lookup.
+// The kinds of call: a completion, a streamed completion, a hold with an
+// idempotency key and a lookup.
 const (
 	Draft  Kind = "draft"
 	Stream Kind = "stream"
@@ -29,44 +30,47 @@
 var Kinds = []Kind{Draft, Stream, Hold, LookUp}
 
 const (
-	// callersPerKind go side by side, with a short pause between their calls.
-	callersPerKind = 3
-	callPause      = 2 * time.Millisecond
-	callTimeout    = 20 * time.Second
-	draftTokens    = 60
+	// callersPerKind callers of each kind run concurrently, pausing for callPause
+	// between their calls.
+	callersPerKind   = 3
+	callPause        = 2 * time.Millisecond
+	callTimeout      = 20 * time.Second
+	completionTokens = 60
 )
 
-// Result is what one call came to.
+// Result is the result of one call.
 type Result struct {
 	Kind     Kind
 	Subject  string
 	Answer   Answer
 	Started  time.Time
 	Finished time.Time
-	// Cut is the error of a transfer that broke off.
+	// TransferErr is the error of an interrupted transfer.
 	TransferErr error
-	Whole       bool
-	// Wrong says that an answer that looks whole is not the right one.
-	Wrong bool
+	// Complete reports that the body of a completion is complete. It is always true
+	// for holds and lookups.
+	Complete bool
+	// Incorrect reports that a successful answer has the wrong content.
+	Incorrect bool
 }
 
-// OK reports whether the caller got a whole answer.
+// OK reports whether the caller got a complete, successful answer.
 func (r Result) OK() bool {
-	return r.TransferErr == nil && r.Answer.Status < http.StatusBadRequest && r.Whole
+	return r.TransferErr == nil && r.Answer.Status < http.StatusBadRequest && r.Complete
 }
 
-// Refused reports whether the call was refused as certainly not run, with the
-// time to come back.
-func (r Result) Refused() bool {
+// Rejected reports whether the call was rejected with verdict not_run and a
+// Retry-After header.
+func (r Result) Rejected() bool {
 	return r.TransferErr == nil && r.Answer.Verdict == "not_run" && r.Answer.Header.Get("Retry-After") != ""
 }
 
-// String describes the call for people.
+// String describes the call in failure messages.
 func (r Result) String() string {
 	return fmt.Sprintf("%s %.40q: %d %s cut=%v", r.Kind, r.Subject, r.Answer.Status, r.Answer.Body, r.TransferErr)
 }
 
-// Load is a bounded number of callers that go on until they are stopped.
+// Load is a fixed number of callers that send calls until they are stopped.
 type Load struct {
 	fleet *Fleet
 
@@ -75,26 +79,26 @@
 	results []Result
 	next    int
 
-	stop    context.CancelFunc
-	stopped context.Context
+	cancel  context.CancelFunc
+	ctx     context.Context
 	callers sync.WaitGroup
 }
 
-// StartLoad starts callers of each kind.
+// StartLoad starts the callers of all kinds.
 func (f *Fleet) StartLoad() *Load {
 	l := &Load{fleet: f, entries: f.Entries}
-	l.stopped, l.stop = context.WithCancel(context.Background())
+	l.ctx, l.cancel = context.WithCancel(context.Background())
 	for range callersPerKind {
 		for _, kind := range Kinds {
-			l.callers.Go(func() { l.loop(kind) })
+			l.callers.Go(func() { l.run(kind) })
 		}
 	}
 	return l
 }
 
-func (l *Load) loop(kind Kind) {
-	for l.stopped.Err() == nil {
-		n, url := l.turn()
+func (l *Load) run(kind Kind) {
+	for l.ctx.Err() == nil {
+		n, url := l.nextCall()
 		r := call(kind, url, n)
 		l.mu.Lock()
 		l.results = append(l.results, r)
@@ -103,30 +107,31 @@
 	}
 }
 
-// turn returns the next number, and the entry whose turn it is.
-func (l *Load) turn() (int, string) {
+// nextCall returns the number of the next call and the URL of its entry, chosen
+// round-robin.
+func (l *Load) nextCall() (int, string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.next++
 	return l.next, l.fleet.URL(l.entries[l.next%len(l.entries)])
 }
 
-// Balance sends new calls only to these entries, as the platform's balancer
-// does once an entry is not ready.
-func (l *Load) Balance(entries ...string) {
+// SetEntries sends new calls only to these entries, as the platform's load
+// balancer does when an entry is not ready.
+func (l *Load) SetEntries(entries ...string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.entries = entries
 }
 
-// End stops the callers and returns what their calls came to.
+// Stop stops the callers and returns the results of all calls.
 func (l *Load) Stop() []Result {
-	l.stop()
+	l.cancel()
 	l.callers.Wait()
 	return l.results
 }
 
-// Count returns how many calls of a kind went well so far.
+// Count returns the number of calls of a kind that have succeeded so far.
 func (l *Load) Count(kind Kind) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -138,30 +143,31 @@
 	var r Result
 	switch kind {
 	case Draft, Stream:
-		r = complete(url, n, kind == Stream)
+		r = callCompletion(url, n, kind == Stream)
 	case Hold:
 		subject := fmt.Sprintf("hold-%d", n)
 		r = PlaceHold(url, subject, subject)
 	default:
-		r = lookUp(url, n)
+		r = callLookup(url, n)
 	}
 	r.Kind, r.Started, r.Finished = kind, began, time.Now()
 	return r
 }
 
-func complete(url string, n int, stream bool) Result {
+func callCompletion(url string, n int, stream bool) Result {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	prompt := fmt.Sprintf("Draft %d: %s", n, strings.Repeat("portfolio line ", n%40))
 	answer, err := Do(ctx, http.MethodPost, url+"/v1/completions", nil,
-		Completion{Model: "draft", Prompt: prompt, MaxTokens: draftTokens, Stream: stream})
+		Completion{Model: "draft", Prompt: prompt, MaxTokens: completionTokens, Stream: stream})
 	text, whole := CompletionText(answer)
-	r := Result{Subject: prompt, Answer: answer, TransferErr: err, Whole: whole}
-	r.Wrong = r.OK() && text != modelengine.Answer(prompt, draftTokens)
+	r := Result{Subject: prompt, Answer: answer, TransferErr: err, Complete: whole}
+	r.Incorrect = r.OK() && text != modelengine.Answer(prompt, completionTokens)
 	return r
 }
 
-// PlaceHold places one hold under a key; an empty key sends none.
+// PlaceHold places one hold under an idempotency key, or without one if key is
+// empty.
 func PlaceHold(url, subject, key string) Result {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
@@ -170,17 +176,17 @@
 		header.Set("Idempotency-Key", key)
 	}
 	answer, err := Do(ctx, http.MethodPost, url+"/services/holds/holds", header, plainservice.Hold{Subject: subject})
-	r := Result{Kind: Hold, Subject: subject, Answer: answer, TransferErr: err, Whole: true}
-	r.Wrong = r.OK() && !strings.Contains(answer.Body, `"`+subject+`"`)
+	r := Result{Kind: Hold, Subject: subject, Answer: answer, TransferErr: err, Complete: true}
+	r.Incorrect = r.OK() && !strings.Contains(answer.Body, `"`+subject+`"`)
 	return r
 }
 
-func lookUp(url string, n int) Result {
+func callLookup(url string, n int) Result {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	query := fmt.Sprintf("model=%d", n)
 	answer, err := Do(ctx, http.MethodGet, url+"/services/holds/calendar?"+query, nil, nil)
-	r := Result{Subject: query, Answer: answer, TransferErr: err, Whole: true}
-	r.Wrong = r.OK() && !strings.Contains(answer.Body, `"`+query+`"`)
+	r := Result{Subject: query, Answer: answer, TransferErr: err, Complete: true}
+	r.Incorrect = r.OK() && !strings.Contains(answer.Body, `"`+query+`"`)
 	return r
 }
--- a/test/fleet/process.go
+++ b/test/fleet/process.go
@@ -16,11 +16,11 @@
 type Process struct {
 	Name string
 
-	program string
-	args    []string
-	dir     string
-	ready   string
-	log     string
+	program  string
+	args     []string
+	dir      string
+	readyURL string
+	logPath  string
 
 	cmd  *exec.Cmd
 	done chan struct{}
@@ -31,23 +31,23 @@
 	readyInterval = 20 * time.Millisecond
 )
 
-// NewProcess returns a process that is not started yet: Restart starts it.
-// Ready is the URL of its readiness check; its log goes to dir.
+// NewProcess returns a process that Restart starts. The readiness check is at
+// the URL ready; the log is written to dir.
 func NewProcess(name, program, dir, ready string, args ...string) *Process {
-	return &Process{Name: name, program: program, args: args, dir: dir, ready: ready}
+	return &Process{Name: name, program: program, args: args, dir: dir, readyURL: ready}
 }
 
-// start runs the process; its output goes to a file of its own.
+// start starts the process; its output is appended to its log file.
 func (p *Process) start() error {
-	p.log = filepath.Join(p.dir, p.Name+".log")
-	output, err := os.OpenFile(p.log, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+	p.logPath = filepath.Join(p.dir, p.Name+".log")
+	output, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
-		return eris.Wrap(err, "log of "+p.Name)
+		return eris.Wrap(err, "open log file of "+p.Name)
 	}
 	defer func() { _ = output.Close() }()
 	cmd := exec.Command(p.program, p.args...)
 	cmd.Stdout, cmd.Stderr = output, output
-	// A harness that is killed takes its processes with it.
+	// The process is killed if the test process dies.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		return eris.Wrap(err, "start "+p.Name)
@@ -61,14 +61,14 @@
 	return nil
 }
 
-// WaitReady waits until the process answers its readiness check.
+// WaitReady waits until the readiness check answers with a status below 500.
 func (p *Process) WaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, p.ready, nil)
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, p.readyURL, nil)
 		if err != nil {
-			return eris.Wrap(err, p.Name)
+			return eris.Wrap(err, "create readiness request for "+p.Name)
 		}
 		resp, err := http.DefaultClient.Do(req)
 		if err == nil {
@@ -79,31 +79,31 @@
 		}
 		select {
 		case <-p.done:
-			return eris.Errorf("%s exited with %d, see %s", p.Name, p.ExitCode(), p.log)
+			return eris.Errorf("%s exited with %d, see %s", p.Name, p.ExitCode(), p.logPath)
 		case <-ctx.Done():
-			return eris.Errorf("%s is not ready, see %s", p.Name, p.log)
+			return eris.Errorf("%s is not ready, see %s", p.Name, p.logPath)
 		case <-time.After(readyInterval):
 		}
 	}
 }
 
-// Kill ends the process at once and waits for its end.
+// Kill sends SIGKILL and waits for the exit.
 func (p *Process) Kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// Terminate asks the process to leave.
+// Terminate sends SIGTERM.
 func (p *Process) Terminate() { p.signal(syscall.SIGTERM) }
 
-// Pause stops the process where it is; Resume lets it go on.
+// Pause sends SIGSTOP.
 func (p *Process) Pause() { p.signal(syscall.SIGSTOP) }
 
-// Resume lets a paused process go on.
+// Resume sends SIGCONT.
 func (p *Process) Resume() { p.signal(syscall.SIGCONT) }
 
-// Wait waits for the end of the process and returns its exit code, -1 if it
-// has not ended within the timeout.
+// Wait waits for the process to exit and returns its exit code, or -1 if it has
+// not exited within the timeout.
 func (p *Process) Wait(timeout time.Duration) int {
 	select {
 	case <-p.done:
@@ -113,17 +113,18 @@
 	}
 }
 
-// Restart starts an ended process again, without waiting for it.
+// Restart starts the process, for the first time or after its exit, without
+// waiting until it is ready.
 func (p *Process) Restart() error { return p.start() }
 
 // PID returns the process id.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// ExitCode returns the exit code of an ended process.
+// ExitCode returns the exit code of an exited process.
 func (p *Process) ExitCode() int { return p.cmd.ProcessState.ExitCode() }
 
-// Log returns the path of the process's output.
-func (p *Process) Log() string { return p.log }
+// Log returns the path of the log file.
+func (p *Process) Log() string { return p.logPath }
 
 func (p *Process) signal(s syscall.Signal) {
 	if p.cmd != nil && p.cmd.Process != nil {
--- a/test/soakproc/callers.go
+++ b/test/soakproc/callers.go
@@ -22,34 +22,33 @@
 	body string
 }
 
-// outcome is what it got.
+// outcome is the result of a request.
 type outcome struct {
 	status int
 	body   string
 	err    error
 }
 
-// kinds are the requests that callers send, by turns.
-var kinds = []request{
+// requestKinds are the requests that callers choose from at random.
+var requestKinds = []request{
 	{method: "GET", target: "/read/1", kind: "read"},
 	{method: "POST", target: "/hold/1", kind: "hold"},
 	{method: "POST", target: "/stream-once/1", kind: "once"},
 	{method: "POST", target: "/stream-again/1", kind: "again"},
 }
 
-// newClient returns a client with one connection that it keeps. It repeats
-// nothing by itself that may have run.
+// newClient returns a client with a single keep-alive connection.
 func newClient() *http.Client {
 	return &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{MaxConnsPerHost: 1, DisableCompression: true}}
 }
 
-func ask(c *http.Client, address string, r request) outcome {
+func send(c *http.Client, address string, r request) outcome {
 	req, err := http.NewRequest(r.method, "http://"+address+r.target, io.NopCloser(strings.NewReader(cmp.Or(r.body, "b"))))
 	if err != nil {
 		return outcome{err: err}
 	}
 	req.Host = "h.example"
-	// A body that cannot be read again keeps the library from sending it twice.
+	// Without GetBody, net/http cannot resend a request that may have run.
 	req.GetBody = nil
 	req.Header.Set("Request-Id", r.id)
 	req.Header.Set("Deadline-Ms", "3000")
@@ -64,20 +63,21 @@
 	return outcome{status: resp.StatusCode, body: string(body), err: err}
 }
 
-// startCallers lets callers ask until the returned function is called.
-func (w *world) startCallers(ctx context.Context, seed uint64, l *ledger) (stop func()) {
+// startCallers starts the callers, which send requests until the returned
+// function is called.
+func (env *environment) startCallers(ctx context.Context, seed uint64, l *requestLog) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var wait sync.WaitGroup
-	for n := range callers {
+	for n := range callerCount {
 		wait.Go(func() {
 			r := rand.New(rand.NewPCG(seed, uint64(100+n)))
 			client := newClient()
 			for ctx.Err() == nil {
-				q := kinds[r.IntN(len(kinds))]
-				q.id = l.nextID()
-				planned := l.planned.Load()
-				a := ask(client, w.gateways[n%len(w.gateways)].address, q)
-				l.note(q, a, planned && l.planned.Load())
+				req := requestKinds[r.IntN(len(requestKinds))]
+				req.id = l.nextID()
+				gracefulStopOnly := l.gracefulStopOnly.Load()
+				got := send(client, env.gateways[n%len(env.gateways)].address, req)
+				l.record(req, got, gracefulStopOnly && l.gracefulStopOnly.Load())
 				time.Sleep(time.Duration(r.IntN(30)) * time.Millisecond)
 			}
 		})
@@ -88,80 +88,81 @@
 	}
 }
 
-// ledger has every request and its outcome.
-type ledger struct {
+// requestLog holds every request, its outcome and the breaches found.
+type requestLog struct {
 	next atomic.Int64
-	// planned is set while nothing but a graceful stop goes on.
-	planned atomic.Bool
+	// gracefulStopOnly is set while a graceful stop is the only disturbance.
+	gracefulStopOnly atomic.Bool
 
 	mu       sync.Mutex
-	asked    map[string]request
-	got      map[string]outcome
-	answers  map[int]int
+	sent     map[string]request
+	outcomes map[string]outcome
+	statuses map[int]int
 	breaches []string
 }
 
-func newLedger() *ledger {
-	return &ledger{asked: map[string]request{}, got: map[string]outcome{}, answers: map[int]int{}}
+func newRequestLog() *requestLog {
+	return &requestLog{sent: map[string]request{}, outcomes: map[string]outcome{}, statuses: map[int]int{}}
 }
 
-func (l *ledger) nextID() string { return fmt.Sprintf("r%d", l.next.Add(1)) }
+func (l *requestLog) nextID() string { return fmt.Sprintf("r%d", l.next.Add(1)) }
 
-func (l *ledger) breach(format string, args ...any) {
+func (l *requestLog) breach(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.breaches = append(l.breaches, fmt.Sprintf(format, args...))
 }
 
-// note takes an outcome in. A request that was cut after its head, while only a
-// graceful stop went on, is a breach at once.
-func (l *ledger) note(q request, a outcome, planned bool) {
+// record stores an outcome. A response that broke off after its head is a
+// breach if a graceful stop was the only disturbance during the request.
+func (l *requestLog) record(req request, got outcome, gracefulStopOnly bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.asked[q.id], l.got[q.id] = q, a
-	l.answers[a.status]++
-	if planned && a.status != 0 && a.err != nil {
-		l.breaches = append(l.breaches, fmt.Sprintf("%s %s was cut by a graceful stop: %v", q.kind, q.id, a.err))
+	l.sent[req.id], l.outcomes[req.id] = req, got
+	l.statuses[got.status]++
+	if gracefulStopOnly && got.status != 0 && got.err != nil {
+		l.breaches = append(l.breaches, fmt.Sprintf("%s %s was interrupted by a graceful stop: %v", req.kind, req.id, got.err))
 	}
 }
 
-// whole is the answer that a request must have got if it was a success.
-func whole(q request) string {
-	if q.kind != "once" && q.kind != "again" {
-		return runner.Body(q.id)
+// expectedBody returns the body of a successful response to a request.
+func expectedBody(req request) string {
+	if req.kind != "once" && req.kind != "again" {
+		return runner.Body(req.id)
 	}
 	var b strings.Builder
 	for n := 1; n <= 3; n++ {
-		b.WriteString(runner.Event(q.id, n))
+		b.WriteString(runner.Event(req.id, n))
 	}
 	return b.String()
 }
 
-// judge compares what callers got with what backend servers ran.
-func (l *ledger) judge(w *world) {
+// check compares the responses that callers got with the requests that backend
+// servers ran.
+func (l *requestLog) check(env *environment) {
 	runs := map[string]int{}
-	for _, s := range w.servers {
+	for _, s := range env.servers {
 		for _, run := range s.Runs() {
 			runs[run.ID]++
 		}
 	}
 	for id, n := range runs {
-		q, ok := l.asked[id]
+		req, ok := l.sent[id]
 		if !ok && !strings.HasPrefix(id, "r") {
-			l.breach("%s ran and nobody asked for it", id)
+			l.breach("%s ran although no caller sent it", id)
 		}
-		if once := q.kind == "hold" || q.kind == "once"; once && n > 1 {
-			l.breach("%s %s ran %d times", q.kind, id, n)
+		if once := req.kind == "hold" || req.kind == "once"; once && n > 1 {
+			l.breach("%s %s ran %d times, at most 1 is allowed", req.kind, id, n)
 		}
 	}
-	for id, a := range l.got {
-		q := l.asked[id]
-		promised := a.status == http.StatusServiceUnavailable || a.status == http.StatusTooManyRequests
-		if once := q.kind == "hold" || q.kind == "once"; promised && once && runs[id] > 0 {
-			l.breach("%s %s was told not run, and ran", q.kind, id)
+	for id, got := range l.outcomes {
+		req := l.sent[id]
+		rejected := got.status == http.StatusServiceUnavailable || got.status == http.StatusTooManyRequests
+		if once := req.kind == "hold" || req.kind == "once"; rejected && once && runs[id] > 0 {
+			l.breach("%s %s was rejected as not run, but ran", req.kind, id)
 		}
-		if a.status == http.StatusOK && a.err == nil && a.body != whole(q) && a.body != "ok" {
-			l.breach("%s %s got another answer than its own: %q", q.kind, id, a.body)
+		if got.status == http.StatusOK && got.err == nil && got.body != expectedBody(req) && got.body != "ok" {
+			l.breach("%s %s got the wrong answer: %q", req.kind, id, got.body)
 		}
 	}
 }
--- a/test/soakproc/world.go
+++ b/test/soakproc/environment.go
@@ -1,7 +1,8 @@
-// Package soakproc runs real gateways as separate processes before stand-ins,
-// and injects faults from outside them: signals, loopback proxies that delay,
-// cut and silence, a store and backend servers that misbehave. Callers and
-// stand-ins check the promises while it runs.
+// Package soakproc runs real gateways as separate processes in front of
+// stand-ins and injects faults from outside: signals, fault proxies that delay,
+// close and blackhole connections, and faults of the store and the backend
+// servers. The records of callers and stand-ins are checked for violations of
+// the guarantees.
 package soakproc
 
 import (
@@ -20,7 +21,7 @@
 	"pistachioroad.dev/pistachioroad/test/standin/runner"
 )
 
-// The ports of each address of the world.
+// The ports of each address of the environment.
 const (
 	portStore   = 7000
 	portCallers = 8080
@@ -37,24 +38,26 @@
 )
 
 const (
-	// drainTimeout is how long after its entry says so a server may get requests.
+	// drainTimeout is how long a server may still get requests after the store
+	// lists it as draining.
 	drainTimeout = 2 * time.Second
-	// configApply is how long a confirmed configuration may take to be in force.
+	// configApply bounds the time in which gateways apply a stored configuration.
 	configApply = 2 * time.Second
-	// contact is how long after a disturbance the bounds hold again.
+	// contact is the time after a disturbance from which the bounds apply again.
 	contact = 3 * time.Second
 )
 
-// gatewayCount is more than the three that watch the store for the others.
+// gatewayCount exceeds three, the number of gateways that watch the store on
+// behalf of the others.
 const gatewayCount = 5
 
-// gateway is one VM with a gateway.
+// gateway is one gateway process.
 type gateway struct {
 	process *fleet.Process
 	address string
 	// store is the proxy between this gateway and the store.
 	store *faultproxy.Proxy
-	// paused and down say what a signal did to it last; disturbed is when.
+	// paused and down report that a signal has paused or ended the process.
 	paused, down bool
 }
 
@@ -63,86 +66,88 @@
 	*runner.BackendServer
 	service string
 	proxy   *faultproxy.Proxy
-	// drainedAt is when the store confirmed that it leaves.
+	// drainedAt is when the server was registered as draining; zero if it is not.
 	drainedAt time.Time
 }
 
-// world is all that one run starts.
-type world struct {
+// environment holds everything that one run starts.
+type environment struct {
 	ip       func(host int) string
 	store    *objectstore.Store
 	gateways []*gateway
 	servers  []*server
 	version  int64
 	closers  []func()
-	ends     ends
+	crashes  crashTimes
 }
 
-// start builds the world of a seed. The addresses are its own within 127/8.
-func start(seed uint64, bin, dir string) (*world, error) {
-	w := &world{store: objectstore.New()}
-	w.ip = func(host int) string { return fmt.Sprintf("127.%d.%d.%d", 100+seed%100, 1+os.Getpid()%200, host) }
-	if err := w.serve(net.JoinHostPort(w.ip(1), strconv.Itoa(portStore)), w.store); err != nil {
-		return w, err
+// start starts the environment of a seed. Its addresses in 127.0.0.0/8 depend on
+// the seed and the process id, so that concurrent runs do not collide.
+func start(seed uint64, bin, dir string) (*environment, error) {
+	env := &environment{store: objectstore.New()}
+	env.ip = func(host int) string { return fmt.Sprintf("127.%d.%d.%d", 100+seed%100, 1+os.Getpid()%200, host) }
+	if err := env.serve(net.JoinHostPort(env.ip(1), strconv.Itoa(portStore)), env.store); err != nil {
+		return env, err
 	}
 	for i, role := range []string{"prefill", "prefill", "decode", "decode", "decode", "", "", ""} {
-		if err := w.addServer(10+i, role); err != nil {
-			return w, err
+		if err := env.addServer(10+i, role); err != nil {
+			return env, err
 		}
 	}
-	w.configure()
+	env.writeConfig()
 	for i := range gatewayCount {
-		if err := w.addGateway(100+i, bin, dir); err != nil {
-			return w, err
+		if err := env.addGateway(100+i, bin, dir); err != nil {
+			return env, err
 		}
 	}
-	return w, nil
+	return env, nil
 }
 
-func (w *world) serve(address string, h http.Handler) error {
+func (env *environment) serve(address string, h http.Handler) error {
 	l, err := net.Listen("tcp4", address)
 	if err != nil {
 		return err
 	}
 	s := &http.Server{Handler: h, ReadHeaderTimeout: time.Minute}
 	go func() { _ = s.Serve(l) }()
-	w.closers = append(w.closers, func() { _ = s.Close() })
+	env.closers = append(env.closers, func() { _ = s.Close() })
 	return nil
 }
 
-func (w *world) addServer(host int, role string) error {
+func (env *environment) addServer(host int, role string) error {
 	s := &server{BackendServer: runner.New(fmt.Sprintf("i-%d", host), role), service: modelService}
 	if role == "" {
 		s.service = plainService
 	}
 	s.EventInterval = 2 * time.Millisecond
 	if role == "decode" {
-		w.mayEnd(s)
+		env.crashOnFatal(s)
 	}
-	backend := net.JoinHostPort(w.ip(host), strconv.Itoa(portBackend))
-	if err := w.serve(backend, s.BackendServer); err != nil {
+	backend := net.JoinHostPort(env.ip(host), strconv.Itoa(portBackend))
+	if err := env.serve(backend, s.BackendServer); err != nil {
 		return err
 	}
-	proxy, err := faultproxy.Listen(net.JoinHostPort(w.ip(host), strconv.Itoa(portProxy)), backend)
+	proxy, err := faultproxy.Listen(net.JoinHostPort(env.ip(host), strconv.Itoa(portProxy)), backend)
 	if err != nil {
 		return err
 	}
-	w.closers = append(w.closers, proxy.Close)
+	env.closers = append(env.closers, proxy.Close)
 	s.proxy = proxy
 	s.RegisterKVSource(proxy.Address())
-	w.servers = append(w.servers, s)
-	w.register(s, "ready")
+	env.servers = append(env.servers, s)
+	env.register(s, "ready")
 	return nil
 }
 
-func (w *world) register(s *server, state string) {
-	w.store.Put("servers", s.ID, s.Registration(s.service, s.proxy.Address(), "z", state))
+func (env *environment) register(s *server, state string) {
+	env.store.Put("servers", s.ID, s.Registration(s.service, s.proxy.Address(), "z", state))
 }
 
-// configure writes a new version of the configuration. The route /v/ goes by
-// turns to the plain service and, for an answer that shows it, to nobody.
-func (w *world) configure() {
-	w.version++
+// writeConfig writes the next version of the configuration. Its route /vN/, with
+// N the version, exists in that version only, so that a response from it shows
+// which version a gateway has applied.
+func (env *environment) writeConfig() {
+	env.version++
 	route := func(name, prefix, kind, service string, attempts int, model, resumable bool) map[string]any {
 		return map[string]any{
 			"name": name, "hostname": "h.example", "pathPrefix": prefix, "routeType": kind, "timeoutMs": 3000,
@@ -154,10 +159,10 @@
 		route("hold", "/hold/", "unsafe", plainService, 1, false, false),
 		route("draft", "/stream-once/", "streaming", modelService, 1, true, false),
 		route("summary", "/stream-again/", "streaming", modelService, 2, true, true),
-		route("version", fmt.Sprintf("/v%d/", w.version), "safe", plainService, 2, false, false),
+		route("version", fmt.Sprintf("/v%d/", env.version), "safe", plainService, 2, false, false),
 	}
-	w.store.Put("config", "main", map[string]any{
-		"version": w.version, "routes": rules,
+	env.store.Put("config", "main", map[string]any{
+		"version": env.version, "routes": rules,
 		"services": []any{
 			map[string]any{"name": plainService, "healthPath": "/health"},
 			map[string]any{"name": modelService, "healthPath": "/health", "engine": map[string]any{
@@ -168,16 +173,16 @@
 	})
 }
 
-func (w *world) addGateway(host int, bin, dir string) error {
-	ip := w.ip(host)
-	proxy, err := faultproxy.Listen(net.JoinHostPort(ip, strconv.Itoa(portStore)), net.JoinHostPort(w.ip(1), strconv.Itoa(portStore)))
+func (env *environment) addGateway(host int, bin, dir string) error {
+	ip := env.ip(host)
+	proxy, err := faultproxy.Listen(net.JoinHostPort(ip, strconv.Itoa(portStore)), net.JoinHostPort(env.ip(1), strconv.Itoa(portStore)))
 	if err != nil {
 		return err
 	}
-	w.closers = append(w.closers, proxy.Close)
+	env.closers = append(env.closers, proxy.Close)
 	name := fmt.Sprintf("f-%d", host)
 	path := filepath.Join(dir, name+".json")
-	if err := w.writeSettings(path, name, ip, proxy.Address()); err != nil {
+	if err := env.writeSettings(path, name, ip, proxy.Address()); err != nil {
 		return err
 	}
 	ready := "http://" + net.JoinHostPort(ip, strconv.Itoa(portReady)) + "/-/readiness"
@@ -185,11 +190,11 @@
 	if err := p.Restart(); err != nil {
 		return err
 	}
-	w.gateways = append(w.gateways, &gateway{process: p, address: net.JoinHostPort(ip, strconv.Itoa(portCallers)), store: proxy})
+	env.gateways = append(env.gateways, &gateway{process: p, address: net.JoinHostPort(ip, strconv.Itoa(portCallers)), store: proxy})
 	return nil
 }
 
-func (w *world) writeSettings(path, name, ip, store string) error {
+func (env *environment) writeSettings(path, name, ip, store string) error {
 	data, err := json.Marshal(map[string]any{
 		"node": name, "zone": "z", "ipAddress": ip,
 		"listenAddrs": map[string]any{
@@ -209,12 +214,12 @@
 	return os.WriteFile(path, data, 0o600)
 }
 
-// stop ends every process and closes every listener of the run.
-func (w *world) stop() {
-	for _, g := range w.gateways {
+// stop kills every process and closes every listener of the run.
+func (env *environment) stop() {
+	for _, g := range env.gateways {
 		g.process.Kill()
 	}
-	for _, c := range w.closers {
+	for _, c := range env.closers {
 		c()
 	}
 }
--- a/test/soakproc/fatal.go
+++ b/test/soakproc/fatal.go
@@ -7,66 +7,69 @@
 )
 
 const (
-	// fatalBody ends the engine that begins to run it; fatalEvery is the time between
-	// two tries of that request, at one gateway after the other.
-	fatalBody  = "fatal"
-	fatalEvery = 250 * time.Millisecond
-	// awayFor is how long an engine that ended is away.
-	awayFor = 400 * time.Millisecond
-	// mostLateEnds is how many engines it may end once gateways had time to agree.
-	mostLateEnds = 3
+	// fatalBody is the body of a request that crashes the engine running it. It is
+	// sent every fatalInterval, to the gateways round-robin.
+	fatalBody     = "fatal"
+	fatalInterval = 250 * time.Millisecond
+	// restartDelay is the time from an engine's crash to its restart.
+	restartDelay = 400 * time.Millisecond
+	// maxLateCrashes is the number of engines that the request may crash after the
+	// gateways had time to exchange its quarantine.
+	maxLateCrashes = 3
 )
 
-// ends are when engines ended under the fatal request.
-type ends struct {
+// crashTimes are the times at which engines crashed on the fatal request.
+type crashTimes struct {
 	mu    sync.Mutex
 	times []time.Time
 }
 
-func (e *ends) add() {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.times = append(e.times, time.Now())
+func (c *crashTimes) add() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.times = append(c.times, time.Now())
 }
 
-// after counts those later than a moment.
-func (e *ends) after(moment time.Time) int {
-	e.mu.Lock()
-	defer e.mu.Unlock()
+// after returns the number of crashes after a point in time.
+func (c *crashTimes) after(since time.Time) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	n := 0
-	for _, t := range e.times {
-		if t.After(moment) {
+	for _, t := range c.times {
+		if t.After(since) {
 			n++
 		}
 	}
 	return n
 }
 
-// mayEnd has a server end under the fatal request, and start again a while later.
-func (w *world) mayEnd(s *server) {
+// crashOnFatal lets a server crash on the fatal request and restarts it after
+// restartDelay.
+func (env *environment) crashOnFatal(s *server) {
 	s.FatalBody = fatalBody
 	s.Crash = func() {
-		w.ends.add()
+		env.crashes.add()
 		s.proxy.Down()
-		time.AfterFunc(awayFor, func() {
+		time.AfterFunc(restartDelay, func() {
 			s.Restart()
 			if err := s.proxy.Up(); err != nil {
 				return
 			}
-			w.register(s, "ready")
+			env.register(s, "ready")
 		})
 	}
 }
 
-// startFatal sends the fatal request until the returned function is called.
-func (w *world) startFatal(ctx context.Context, l *ledger) (stop func()) {
+// startFatalCaller sends the fatal request repeatedly until the returned function
+// is called.
+func (env *environment) startFatalCaller(ctx context.Context, l *requestLog) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var wait sync.WaitGroup
 	wait.Go(func() {
 		for n := 0; ctx.Err() == nil; n++ {
-			q := request{method: "POST", target: "/stream-again/fatal", kind: "fatal", id: l.nextID(), body: fatalBody}
-			ask(newClient(), w.gateways[n%len(w.gateways)].address, q)
-			time.Sleep(fatalEvery)
+			req := request{method: "POST", target: "/stream-again/fatal", kind: "fatal", id: l.nextID(), body: fatalBody}
+			send(newClient(), env.gateways[n%len(env.gateways)].address, req)
+			time.Sleep(fatalInterval)
 		}
 	})
 	return func() {
@@ -75,10 +78,10 @@
 	}
 }
 
-// judgeEnds checks that few engines ended under the fatal request since a moment at
-// which all gateways had been undisturbed for a while.
-func (w *world) judgeEnds(since time.Time, l *ledger) {
-	if n := w.ends.after(since); n > mostLateEnds {
-		l.breach("%d engines ended under one request after all gateways were well, %d are allowed", n, mostLateEnds)
+// checkCrashes checks that at most maxLateCrashes engines crashed on the fatal
+// request since a time at which all gateways had been undisturbed for settleTime.
+func (env *environment) checkCrashes(since time.Time, l *requestLog) {
+	if n := env.crashes.after(since); n > maxLateCrashes {
+		l.breach("one request crashed %d engines after all gateways had recovered, at most %d are allowed", n, maxLateCrashes)
 	}
 }
--- a/test/soakproc/faults.go
+++ b/test/soakproc/faults.go
@@ -9,25 +9,31 @@
 	"pistachioroad.dev/pistachioroad/test/standin/runner"
 )
 
-// settled is how long after a disturbance the bounds hold again.
-const settled = 5 * time.Second
+// settleTime is the time after the last fault by which the gateways must have
+// recovered.
+const settleTime = 5 * time.Second
 
-// fault is one kind of trouble. It begins at once and returns what ends it.
+// fault is one kind of fault. begin injects it and returns the function that ends
+// it, or nil if it cannot be injected now.
 type fault struct {
 	name  string
-	begin func(w *world, r *rand.Rand) (end func())
+	begin func(env *environment, r *rand.Rand) (end func())
 }
 
-func nothing() {}
+func noop() {}
 
-func (w *world) anyGateway(r *rand.Rand) *gateway { return w.gateways[r.IntN(len(w.gateways))] }
+func (env *environment) randomGateway(r *rand.Rand) *gateway {
+	return env.gateways[r.IntN(len(env.gateways))]
+}
 
-func (w *world) anyServer(r *rand.Rand) *server { return w.servers[r.IntN(len(w.servers))] }
+func (env *environment) randomServer(r *rand.Rand) *server {
+	return env.servers[r.IntN(len(env.servers))]
+}
 
-// faults are all kinds, by name.
+// faults are all kinds of fault.
 var faults = []fault{
-	{"gateway killed", func(w *world, r *rand.Rand) func() {
-		g := w.anyGateway(r)
+	{"gateway killed", func(env *environment, r *rand.Rand) func() {
+		g := env.randomGateway(r)
 		if g.paused || g.down {
 			return nil
 		}
@@ -35,8 +41,8 @@
 		g.process.Kill()
 		return func() { g.down = false; _ = g.process.Restart() }
 	}},
-	{"gateway paused", func(w *world, r *rand.Rand) func() {
-		g := w.anyGateway(r)
+	{"gateway paused", func(env *environment, r *rand.Rand) func() {
+		g := env.randomGateway(r)
 		if g.paused || g.down {
 			return nil
 		}
@@ -44,8 +50,8 @@
 		g.process.Pause()
 		return func() { g.process.Resume(); g.paused = false }
 	}},
-	{"gateway terminated", func(w *world, r *rand.Rand) func() {
-		g := w.anyGateway(r)
+	{"gateway terminated", func(env *environment, r *rand.Rand) func() {
+		g := env.randomGateway(r)
 		if g.paused || g.down {
 			return nil
 		}
@@ -62,75 +68,79 @@
 	{"store refuses", storeFault(objectstore.Faults{Unavailable: true})},
 	{"store silent", storeFault(objectstore.Faults{Unresponsive: true})},
 	{"store loses replies", storeFault(objectstore.Faults{LoseReplies: true})},
-	{"store drops history", func(w *world, _ *rand.Rand) func() { w.store.CompactHistory(); return nothing }},
-	{"store keeps changes back", func(w *world, _ *rand.Rand) func() {
-		w.store.SetFaults(objectstore.Faults{HoldWatches: true})
-		return w.dropHistory
+	{"store drops history", func(env *environment, _ *rand.Rand) func() { env.store.CompactHistory(); return noop }},
+	{"store keeps changes back", func(env *environment, _ *rand.Rand) func() {
+		env.store.SetFaults(objectstore.Faults{StallWatches: true})
+		return env.recoverWatches
+	}},
+	{"one gateway cut from the store", storeLinkFault(faultproxy.Mode{Cut: true})},
+	{"one gateway's store one way", storeLinkFault(faultproxy.Mode{DropToClient: true})},
+	{"one gateway's store delayed", storeLinkFault(faultproxy.Mode{Delay: 100 * time.Millisecond})},
+	{"one gateway's store silenced", func(env *environment, r *rand.Rand) func() {
+		env.randomGateway(r).store.BlackholeExisting()
+		return noop
 	}},
-	{"one gateway cut from the store", storeLink(faultproxy.Mode{Cut: true})},
-	{"one gateway's store one way", storeLink(faultproxy.Mode{DropToClient: true})},
-	{"one gateway's store delayed", storeLink(faultproxy.Mode{Delay: 100 * time.Millisecond})},
-	{"one gateway's store silenced", func(w *world, r *rand.Rand) func() {
-		w.anyGateway(r).store.BlackholeExisting()
-		return nothing
+	{"server cut", serverLinkFault(faultproxy.Mode{Cut: true})},
+	{"server one way", serverLinkFault(faultproxy.Mode{DropToClient: true})},
+	{"server delayed", serverLinkFault(faultproxy.Mode{Delay: 30 * time.Millisecond})},
+	{"server silenced", func(env *environment, r *rand.Rand) func() {
+		env.randomServer(r).proxy.BlackholeExisting()
+		return noop
 	}},
-	{"server cut", serverLink(faultproxy.Mode{Cut: true})},
-	{"server one way", serverLink(faultproxy.Mode{DropToClient: true})},
-	{"server delayed", serverLink(faultproxy.Mode{Delay: 30 * time.Millisecond})},
-	{"server silenced", func(w *world, r *rand.Rand) func() { w.anyServer(r).proxy.BlackholeExisting(); return nothing }},
 	{"server sheds", serverFault(runner.Shedding)},
 	{"server loses answers", serverFault(runner.DroppingAnswers)},
 	{"server breaks off", serverFault(runner.TruncatingStream)},
 	{"server fails", serverFault(runner.Failing)},
 	{"server answers twice", serverFault(runner.DuplicateAnswer)},
 	{"server silent", serverFault(runner.Unresponsive)},
-	{"server names a limit", serverLimit(runner.AllAnswers)},
-	{"server names a limit in rejections", serverLimit(runner.Rejections)},
-	{"server names a limit in reads", serverLimit(runner.PrefillAnswers)},
-	{"server drains", func(w *world, r *rand.Rand) func() {
-		s := w.anyServer(r)
+	{"server names a limit", serverLimitFault(runner.AllAnswers)},
+	{"server names a limit in rejections", serverLimitFault(runner.Rejections)},
+	{"server names a limit in reads", serverLimitFault(runner.PrefillAnswers)},
+	{"server drains", func(env *environment, r *rand.Rand) func() {
+		s := env.randomServer(r)
 		if !s.drainedAt.IsZero() {
 			return nil
 		}
-		w.register(s, "draining")
+		env.register(s, "draining")
 		s.drainedAt = time.Now()
-		return func() { s.drainedAt = time.Time{}; w.register(s, "ready") }
+		return func() { s.drainedAt = time.Time{}; env.register(s, "ready") }
 	}},
-	{"configuration changed", func(w *world, _ *rand.Rand) func() { w.configure(); return nothing }},
+	{"configuration changed", func(env *environment, _ *rand.Rand) func() { env.writeConfig(); return noop }},
 }
 
-func storeFault(f objectstore.Faults) func(*world, *rand.Rand) func() {
-	return func(w *world, _ *rand.Rand) func() {
-		w.store.SetFaults(f)
-		return func() { w.store.SetFaults(objectstore.Faults{}) }
+func storeFault(f objectstore.Faults) func(*environment, *rand.Rand) func() {
+	return func(env *environment, _ *rand.Rand) func() {
+		env.store.SetFaults(f)
+		return func() { env.store.SetFaults(objectstore.Faults{}) }
 	}
 }
 
-// dropHistory ends the time in which the store keeps changes back.
-func (w *world) dropHistory() {
-	w.store.SetFaults(objectstore.Faults{})
-	w.store.CompactHistory()
+// recoverWatches ends all faults of the store and drops its change history, so
+// that changes made while watches were stalled can only be found by a list.
+func (env *environment) recoverWatches() {
+	env.store.SetFaults(objectstore.Faults{})
+	env.store.CompactHistory()
 }
 
-func storeLink(m faultproxy.Mode) func(*world, *rand.Rand) func() {
-	return func(w *world, r *rand.Rand) func() {
-		p := w.anyGateway(r).store
+func storeLinkFault(m faultproxy.Mode) func(*environment, *rand.Rand) func() {
+	return func(env *environment, r *rand.Rand) func() {
+		p := env.randomGateway(r).store
 		p.Set(m)
 		return func() { p.Set(faultproxy.Mode{}) }
 	}
 }
 
-func serverLink(m faultproxy.Mode) func(*world, *rand.Rand) func() {
-	return func(w *world, r *rand.Rand) func() {
-		p := w.anyServer(r).proxy
+func serverLinkFault(m faultproxy.Mode) func(*environment, *rand.Rand) func() {
+	return func(env *environment, r *rand.Rand) func() {
+		p := env.randomServer(r).proxy
 		p.Set(m)
 		return func() { p.Set(faultproxy.Mode{}) }
 	}
 }
 
-func serverFault(f runner.Fault) func(*world, *rand.Rand) func() {
-	return func(w *world, r *rand.Rand) func() {
-		s := w.anyServer(r)
+func serverFault(f runner.Fault) func(*environment, *rand.Rand) func() {
+	return func(env *environment, r *rand.Rand) func() {
+		s := env.randomServer(r)
 		s.SetFault(f)
 		return func() { s.SetFault(runner.Healthy) }
 	}
--- a/test/soakproc/limit.go
+++ b/test/soakproc/limit.go
@@ -9,53 +9,54 @@
 )
 
 const (
-	// limitPerSecond is the limit that servers name, in requests a second.
+	// limitPerSecond is the rate limit that servers send, in requests per second.
 	limitPerSecond = 2.0
-	// limitSpan is the time over which operators count what such a server gets, limitSlack
-	// and limitMore by how much that may be over the limit.
-	limitSpan  = 4 * time.Second
-	limitSlack = 1.5
-	limitMore  = 5
+	// A limited server may get limitTolerance times its limit plus limitBurst
+	// requests in any limitWindow.
+	limitWindow    = 4 * time.Second
+	limitTolerance = 1.5
+	limitBurst     = 5
 )
 
-// serverLimit has a server name a limit in some of its answers.
-func serverLimit(on runner.LimitScope) func(*world, *rand.Rand) func() {
-	return func(w *world, r *rand.Rand) func() {
-		s := w.anyServer(r)
+// serverLimitFault makes a server send a random rate limit in some of its answers.
+func serverLimitFault(on runner.LimitScope) func(*environment, *rand.Rand) func() {
+	return func(env *environment, r *rand.Rand) func() {
+		s := env.randomServer(r)
 		s.SetLimit(strconv.FormatFloat(limitPerSecond*r.Float64(), 'f', 1, 64), on)
 		return func() { s.SetLimit("", on) }
 	}
 }
 
-// nameLimits has one engine that reads and one plain server name a limit for the rest of
-// the run. It returns a function that checks what they got.
-func (w *world) nameLimits(l *ledger) (judge func()) {
+// setLimits makes one prefill engine and one plain server send a rate limit for the
+// rest of the run. The returned function checks the requests that they got.
+func (env *environment) setLimits(l *requestLog) (check func()) {
 	var limited []*server
-	for _, s := range []*server{w.servers[0], w.servers[len(w.servers)-2]} {
+	for _, s := range []*server{env.servers[0], env.servers[len(env.servers)-2]} {
 		s.SetLimit(strconv.FormatFloat(limitPerSecond, 'f', 1, 64), runner.AllAnswers)
 		limited = append(limited, s)
 	}
 	from := time.Now().Add(contact)
-	most := int(limitSlack*limitPerSecond*limitSpan.Seconds()) + limitMore
+	allowed := int(limitTolerance*limitPerSecond*limitWindow.Seconds()) + limitBurst
 	return func() {
 		for _, s := range limited {
-			if got := mostWithin(limitSpan, s.RequestTimes(), from); got > most {
-				l.breach("%s, which takes %v requests a second, got %d in %v, %d are allowed", s.ID, limitPerSecond, got, limitSpan, most)
+			if got := maxInWindow(limitWindow, s.RequestTimes(), from); got > allowed {
+				l.breach("%s, limited to %v requests per second, got %d in %v, at most %d are allowed", s.ID, limitPerSecond, got, limitWindow, allowed)
 			}
 		}
 	}
 }
 
-// mostWithin returns the most moments that lie within a span, of those from a moment on.
-func mostWithin(span time.Duration, times []time.Time, from time.Time) int {
-	most, first := 0, 0
+// maxInWindow returns the highest number of times within any window of the given
+// length, ignoring times before from. The times are sorted.
+func maxInWindow(window time.Duration, times []time.Time, from time.Time) int {
+	highest, first := 0, 0
 	for i, t := range times {
-		for first < i && (times[first].Before(from) || t.Sub(times[first]) >= span) {
+		for first < i && (times[first].Before(from) || t.Sub(times[first]) >= window) {
 			first++
 		}
 		if !times[first].Before(from) {
-			most = max(most, i-first+1)
+			highest = max(highest, i-first+1)
 		}
 	}
-	return most
+	return highest
 }
--- a/test/soakproc/run.go
+++ b/test/soakproc/run.go
@@ -12,56 +12,59 @@
 )
 
 const (
-	// faultsFor is how long faults are injected, faultEvery how often on
-	// average; each lasts up to faultLasts, so that they overlap.
-	faultsFor  = 6 * time.Second
-	faultEvery = 250 * time.Millisecond
-	faultLasts = 1800 * time.Millisecond
-	// callers ask at once, each on a connection of its own that it keeps.
-	callers = 12
-	// calmFor is how long the fleet is watched after the last fault.
-	calmFor = 2 * time.Second
+	// Faults are injected for faultsDuration, on average every
+	// meanFaultInterval. Each lasts up to maxFaultDuration, so that they overlap.
+	faultsDuration    = 6 * time.Second
+	meanFaultInterval = 250 * time.Millisecond
+	maxFaultDuration  = 1800 * time.Millisecond
+	// callerCount callers run concurrently, each on its own keep-alive connection.
+	callerCount = 12
+	// drainObservation is how long a draining server is observed for new requests
+	// after its drain timeout.
+	drainObservation = 2 * time.Second
 )
 
-// Report is what a run saw.
+// Report is the result of a run.
 type Report struct {
 	Seed uint64
-	// Breaches are promises that were broken; empty for a good run.
+	// Breaches describe the guarantees that were violated; empty if the run
+	// passed.
 	Breaches []string
-	// Faults counts the faults by name, Answers the answers by status.
+	// Faults counts the injected faults by name, Answers the answers by status.
 	Faults  map[string]int
 	Answers map[int]int
 }
 
-// Run plays one seed. The programs are in bin; logs and settings go to dir.
+// Run runs one seed. The programs are in bin; logs and settings are written to
+// dir. The error is one of the set-up; violated guarantees are in the report.
 func Run(seed uint64, bin, dir string) (Report, error) {
 	report := Report{Seed: seed, Faults: map[string]int{}, Answers: map[int]int{}}
-	w, err := start(seed, bin, dir)
-	defer w.stop()
+	env, err := start(seed, bin, dir)
+	defer env.stop()
 	if err != nil {
 		return report, err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	for _, g := range w.gateways {
+	for _, g := range env.gateways {
 		if err := g.process.WaitReady(ctx); err != nil {
 			return report, err
 		}
 	}
-	l := newLedger()
-	stopCallers := w.startCallers(ctx, seed, l)
-	stopFatal := w.startFatal(ctx, l)
-	w.inject(seed, report.Faults)
-	w.calm(ctx, l)
+	l := newRequestLog()
+	stopCallers := env.startCallers(ctx, seed, l)
+	stopFatal := env.startFatalCaller(ctx, l)
+	env.inject(seed, report.Faults)
+	env.checkRecovery(ctx, l)
 	stopFatal()
 	stopCallers()
-	l.judge(w)
+	l.check(env)
 	report.Breaches = l.breaches
-	report.Answers = l.answers
+	report.Answers = l.statuses
 	return report, nil
 }
 
-// Kinds returns the names of all faults.
+// FaultNames returns the names of all faults.
 func FaultNames() []string {
 	var names []string
 	for _, f := range faults {
@@ -70,9 +73,9 @@
 	return names
 }
 
-// inject begins faults at random moments and ends each a while later. All are
-// over when it returns.
-func (w *world) inject(seed uint64, counts map[string]int) {
+// inject starts faults at random times and ends each after a random duration.
+// All faults have ended when it returns.
+func (env *environment) inject(seed uint64, counts map[string]int) {
 	r := rand.New(rand.NewPCG(seed, 1))
 	type ending struct {
 		at  time.Time
@@ -89,93 +92,96 @@
 		})
 	}
 	order := r.Perm(len(faults))
-	for n, until := 0, time.Now().Add(faultsFor); time.Now().Before(until); n++ {
+	for n, until := 0, time.Now().Add(faultsDuration); time.Now().Before(until); n++ {
 		f := faults[order[n%len(order)]]
-		if end := f.begin(w, r); end != nil {
+		if end := f.begin(env, r); end != nil {
 			counts[f.name]++
-			lasts := time.Duration(r.Int64N(int64(faultLasts)))
-			endings = append(endings, ending{at: time.Now().Add(lasts), end: end})
+			duration := time.Duration(r.Int64N(int64(maxFaultDuration)))
+			endings = append(endings, ending{at: time.Now().Add(duration), end: end})
 		}
-		time.Sleep(time.Duration(r.Int64N(int64(2 * faultEvery))))
+		time.Sleep(time.Duration(r.Int64N(int64(2 * meanFaultInterval))))
 		finish(time.Now())
 	}
 	finish(time.Now().Add(time.Hour))
 }
 
-// calm waits until the bounds hold again, and then checks that every gateway
-// serves, has the newest configuration and sends a draining server nothing.
-func (w *world) calm(ctx context.Context, l *ledger) {
-	for _, g := range w.gateways {
+// checkRecovery waits for settleTime and then checks that every gateway serves,
+// applies the newest configuration and sends no requests to a draining server,
+// and that limits and missed changes are handled.
+func (env *environment) checkRecovery(ctx context.Context, l *requestLog) {
+	for _, g := range env.gateways {
 		if err := g.process.WaitReady(ctx); err != nil {
 			l.breach("not ready after the faults: %v", err)
 		}
 	}
-	time.Sleep(settled)
-	well := time.Now()
-	defer func() { w.judgeEnds(well, l) }()
-	defer w.nameLimits(l)()
-	w.configure()
-	drained := w.servers[len(w.servers)-1]
-	w.register(drained, "draining")
+	time.Sleep(settleTime)
+	recovered := time.Now()
+	defer func() { env.checkCrashes(recovered, l) }()
+	defer env.setLimits(l)()
+	env.writeConfig()
+	drained := env.servers[len(env.servers)-1]
+	env.register(drained, "draining")
 	time.Sleep(drainTimeout)
 	before := len(drained.Runs())
-	w.newestServed(l)
-	for _, g := range w.gateways {
-		old := ask(newClient(), g.address, request{method: "GET", target: fmt.Sprintf("/v%d/", w.version-1), id: l.nextID(), kind: "version"})
+	env.checkNewestConfig(l)
+	for _, g := range env.gateways {
+		old := send(newClient(), g.address, request{method: "GET", target: fmt.Sprintf("/v%d/", env.version-1), id: l.nextID(), kind: "version"})
 		if old.status != 404 {
-			l.breach("%s still serves the configuration before: status %d", g.address, old.status)
+			l.breach("%s still serves the previous configuration: status %d, want 404", g.address, old.status)
 		}
 	}
-	time.Sleep(calmFor)
+	time.Sleep(drainObservation)
 	if after := len(drained.Runs()); after > before {
-		l.breach("a draining server got %d requests more", after-before)
+		l.breach("a draining server got %d more requests after its drain timeout", after-before)
 	}
-	w.changeUnheard(l)
-	w.terminateInTurn(l)
+	env.checkStalledChanges(l)
+	env.checkGracefulStop(l)
 }
 
-// newestServed checks that every gateway serves the newest configuration.
-func (w *world) newestServed(l *ledger) {
-	for _, g := range w.gateways {
-		a := ask(newClient(), g.address, request{method: "GET", target: fmt.Sprintf("/v%d/", w.version), id: l.nextID(), kind: "version"})
-		if a.status != 200 {
-			l.breach("%s does not serve the newest configuration: status %d %v", g.address, a.status, a.err)
+// checkNewestConfig checks that every gateway serves the newest configuration.
+func (env *environment) checkNewestConfig(l *requestLog) {
+	for _, g := range env.gateways {
+		got := send(newClient(), g.address, request{method: "GET", target: fmt.Sprintf("/v%d/", env.version), id: l.nextID(), kind: "version"})
+		if got.status != 200 {
+			l.breach("%s does not serve the newest configuration: status %d %v", g.address, got.status, got.err)
 		}
 	}
 }
 
 const (
-	// unheardFor is how long the store keeps changes back before it drops its
-	// history: long enough for each gateway to look for itself meanwhile.
-	unheardFor = 2 * time.Second
-	// unheardEvery is the time between the changes.
-	unheardEvery = 150 * time.Millisecond
+	// stalledDuration is how long the store withholds changes from watches before
+	// it drops its history: long enough for each gateway to list the objects
+	// meanwhile.
+	stalledDuration = 2 * time.Second
+	// stalledChangeInterval is the time between the changes.
+	stalledChangeInterval = 150 * time.Millisecond
 )
 
-// changeUnheard changes the configuration while the store keeps changes back from
-// watches, and checks that the last change is in force in time once it is well.
-func (w *world) changeUnheard(l *ledger) {
-	w.store.SetFaults(objectstore.Faults{HoldWatches: true})
-	for range unheardFor / unheardEvery {
-		time.Sleep(unheardEvery)
-		w.configure()
+// checkStalledChanges changes the configuration while the store's watches are
+// stalled, and checks that the last change is applied within its bound after
+// the store has recovered.
+func (env *environment) checkStalledChanges(l *requestLog) {
+	env.store.SetFaults(objectstore.Faults{StallWatches: true})
+	for range stalledDuration / stalledChangeInterval {
+		time.Sleep(stalledChangeInterval)
+		env.writeConfig()
 	}
-	w.dropHistory()
+	env.recoverWatches()
 	time.Sleep(max(configApply, contact))
-	w.newestServed(l)
+	env.checkNewestConfig(l)
 }
 
-// terminateInTurn stops and starts each gateway while callers go on; nothing
-// else is wrong, so no request may be cut.
-func (w *world) terminateInTurn(l *ledger) {
-	l.planned.Store(true)
-	defer l.planned.Store(false)
+// checkGracefulStop stops one gateway with SIGTERM while callers continue. There
+// is no other fault, so no request may be interrupted.
+func (env *environment) checkGracefulStop(l *requestLog) {
+	l.gracefulStopOnly.Store(true)
+	defer l.gracefulStopOnly.Store(false)
 	var wait sync.WaitGroup
-	g := w.gateways[0]
+	g := env.gateways[0]
 	wait.Go(func() {
 		g.process.Terminate()
 		if code := g.process.Wait(9 * time.Second); code != 0 {
-			l.breach("%s ended with %d after SIGTERM", g.process.Name, code)
+			l.breach("%s exited with %d after SIGTERM, want 0", g.process.Name, code)
 		}
 	})
 	wait.Wait()
--- a/test/soakproc/soakproc_test.go
+++ b/test/soakproc/soakproc_test.go
@@ -16,8 +16,8 @@
 	RunSpecs(t, "soak of real processes")
 }
 
-// seeds are fixed; 107 joined the events of an engine that broke off with an
-// answer that was no stream.
+// seeds are fixed. With seed 107, a gateway once appended a response that was no
+// stream to the events of an engine whose stream had broken off.
 var seeds = []uint64{1, 107}
 
 var _ = Describe("Gateways as processes", Ordered, func() {
@@ -32,12 +32,12 @@
 		Expect(build.Run()).To(Succeed())
 	})
 
-	// Gateways are killed, paused and stopped, the store and the ways to it fail
-	// in every manner, servers lose, break off and repeat answers, by turns and
-	// at once. A caller notices a hold placed twice, a wrong "not run", or an
-	// answer that is not whole or not its own.
+	// Guards against a hold placed twice, a false "not run", and an answer that is
+	// truncated or another caller's. Gateways are killed, paused and stopped, the
+	// store and its connections fail, and servers lose, truncate and repeat
+	// answers, one after the other and concurrently.
 	for _, seed := range seeds {
-		It("keep every promise under faults from outside", func() {
+		It("keep every guarantee under injected faults", func() {
 			report, err := soakproc.Run(seed, bin, GinkgoT().TempDir())
 			Expect(err).NotTo(HaveOccurred())
 			Expect(report.Breaches).To(BeEmpty(), "seed %d", seed)
@@ -48,7 +48,7 @@
 		})
 	}
 
-	It("have met most kinds of fault", func() {
+	It("were exposed to more than two thirds of the kinds of fault", func() {
 		Expect(len(met)).To(BeNumerically(">", len(soakproc.FaultNames())*2/3))
 	})
 })
--- a/test/standin/modelengine/answer.go
+++ b/test/standin/modelengine/answer.go
@@ -8,8 +8,8 @@
 )
 
 // Answer returns the first tokens of the stand-in's answer to a prompt. Each
-// token depends on the whole prompt and on its own place, so that an answer
-// proves whose it is and that nothing is missing or has changed places.
+// token depends on the whole prompt and on its position, so that a test can
+// detect another prompt's answer and missing or reordered tokens.
 func Answer(prompt string, tokens int) string {
 	var text strings.Builder
 	seed := xxhash.Sum64String(prompt)
@@ -20,8 +20,8 @@
 }
 
 // token returns one output token: a space and eight hexadecimal digits.
-func token(seed uint64, place int) string {
-	sum := xxhash.Sum64String(strconv.FormatUint(seed, 16) + "/" + strconv.Itoa(place))
+func token(seed uint64, position int) string {
+	sum := xxhash.Sum64String(strconv.FormatUint(seed, 16) + "/" + strconv.Itoa(position))
 	digits := strconv.FormatUint(sum|1<<63, 16)
 	return " " + digits[:8]
 }
--- a/test/standin/modelengine/cache.go
+++ b/test/standin/modelengine/cache.go
@@ -8,64 +8,66 @@
 	"pistachioroad.dev/pistachioroad/internal/engine"
 )
 
-// maxEvents is how many cache events are kept for readers.
+// maxEvents is the maximum number of cache events that are retained.
 const maxEvents = 4096
 
-// cache is a prefix cache of bounded size that forgets the piece used longest
-// ago. It publishes events late and with gaps.
+// cache is an LRU prefix cache of KV blocks. It publishes its events with a delay
+// and loses some.
 type cache struct {
-	pieces int
-	order  *list.List
-	at     map[uint64]*list.Element
+	capacity int
+	// recency lists the cached blocks, the most recently used one first.
+	recency  *list.List
+	elements map[uint64]*list.Element
 
-	lag    time.Duration
-	loss   float64
-	rng    *rand.Rand
-	events []event
-	next   uint64
+	lag          time.Duration
+	lossRate     float64
+	rng          *rand.Rand
+	events       []event
+	nextSequence uint64
 }
 
+// event is a cache event that readers see from visibleAt on.
 type event struct {
-	visible time.Time
-	body    engine.CacheEvent
+	visibleAt time.Time
+	body      engine.CacheEvent
 }
 
 func newCache(c Config) *cache {
 	return &cache{
-		pieces: c.Pieces,
-		order:  list.New(),
-		at:     map[uint64]*list.Element{},
-		lag:    c.EventLag,
-		loss:   c.EventLoss,
-		rng:    rand.New(rand.NewPCG(c.Seed, 1)),
-		next:   1,
+		capacity:     c.KVBlocks,
+		recency:      list.New(),
+		elements:     map[uint64]*list.Element{},
+		lag:          c.EventLag,
+		lossRate:     c.EventLossRate,
+		rng:          rand.New(rand.NewPCG(c.Seed, 1)),
+		nextSequence: 1,
 	}
 }
 
-// hit returns how many leading pieces are cached.
-func (c *cache) hit(pieces []uint64) int {
-	for i, piece := range pieces {
-		if c.at[piece] == nil {
+// cachedPrefix returns the number of leading blocks that are cached.
+func (c *cache) cachedPrefix(blocks []uint64) int {
+	for i, block := range blocks {
+		if c.elements[block] == nil {
 			return i
 		}
 	}
-	return len(pieces)
+	return len(blocks)
 }
 
-// store caches the pieces and evicts the ones used longest ago.
-func (c *cache) store(now time.Time, pieces []uint64) {
+// store caches the blocks and evicts the least recently used ones.
+func (c *cache) store(now time.Time, blocks []uint64) {
 	var stored, evicted []uint64
-	for _, piece := range pieces {
-		if e := c.at[piece]; e != nil {
-			c.order.MoveToFront(e)
+	for _, block := range blocks {
+		if e := c.elements[block]; e != nil {
+			c.recency.MoveToFront(e)
 			continue
 		}
-		c.at[piece] = c.order.PushFront(piece)
-		stored = append(stored, piece)
+		c.elements[block] = c.recency.PushFront(block)
+		stored = append(stored, block)
 	}
-	for c.order.Len() > c.pieces {
-		oldest := c.order.Remove(c.order.Back()).(uint64)
-		delete(c.at, oldest)
+	for c.recency.Len() > c.capacity {
+		oldest := c.recency.Remove(c.recency.Back()).(uint64)
+		delete(c.elements, oldest)
 		evicted = append(evicted, oldest)
 	}
 	if len(stored)+len(evicted) > 0 {
@@ -73,37 +75,38 @@
 	}
 }
 
-// publish numbers the event, and sometimes loses it.
+// publish assigns the next sequence number to the event and drops it with
+// probability lossRate.
 func (c *cache) publish(now time.Time, body engine.CacheEvent) {
-	body.Sequence = c.next
-	c.next++
-	if c.rng.Float64() < c.loss {
+	body.Sequence = c.nextSequence
+	c.nextSequence++
+	if c.rng.Float64() < c.lossRate {
 		return
 	}
-	c.events = append(c.events, event{visible: now.Add(c.lag), body: body})
+	c.events = append(c.events, event{visibleAt: now.Add(c.lag), body: body})
 	if len(c.events) > maxEvents {
 		c.events = c.events[1:]
 	}
 }
 
-// eventsAfter returns what a reader sees by now.
+// eventsAfter returns the events after a sequence number that are visible by now.
 func (c *cache) eventsAfter(now time.Time, after uint64) []engine.CacheEvent {
-	seen := []engine.CacheEvent{}
+	visible := []engine.CacheEvent{}
 	for _, e := range c.events {
-		if e.body.Sequence > after && !now.Before(e.visible) {
-			seen = append(seen, e.body)
+		if e.body.Sequence > after && !now.Before(e.visibleAt) {
+			visible = append(visible, e.body)
 		}
 	}
-	return seen
+	return visible
 }
 
 func (c *cache) clear(now time.Time) {
-	evicted := make([]uint64, 0, len(c.at))
-	for piece := range c.at {
-		evicted = append(evicted, piece)
+	evicted := make([]uint64, 0, len(c.elements))
+	for block := range c.elements {
+		evicted = append(evicted, block)
 	}
-	c.order.Init()
-	clear(c.at)
+	c.recency.Init()
+	clear(c.elements)
 	if len(evicted) > 0 {
 		c.publish(now, engine.CacheEvent{Evicted: evicted})
 	}
--- a/test/standin/modelengine/modelengine.go
+++ b/test/standin/modelengine/modelengine.go
@@ -1,9 +1,10 @@
-// Package modelengine is a small stand-in for a model engine: batching streams
-// with priorities, cancel and resume, a prefix cache with late events, load
+// Package modelengine is a small stand-in for a model engine: batched streams
+// with priorities, cancel and resume, a prefix cache with delayed events, load
 // reports that lag, KV export and import, and orders that take time.
 //
-// It records what must never happen (overlapping or stale orders, requests cut
-// by an order, one request run twice at once), so that a test can fail the run.
+// It records violations, on which tests fail: overlapping or stale orders,
+// requests interrupted by an order, concurrent runs of one request, and requests
+// resumed with another request's text.
 package modelengine
 
 import (
@@ -23,34 +24,40 @@
 	"pistachioroad.dev/pistachioroad/internal/pause"
 )
 
-// Config says how the stand-in behaves.
+// Config is the configuration of the stand-in.
 type Config struct {
-	// Address is the engine's own address, named in its tickets.
+	// Address is the engine's own address, the source of its KV tickets.
 	Address string
-	// Order is what the engine is when it starts.
+	// Order is the order that is applied at the start.
 	Order engine.Order
-	// ChecksFencingToken refuses orders below the highest generation taken.
+	// ChecksFencingToken makes the engine reject orders with a generation below
+	// the highest one accepted.
 	ChecksFencingToken bool
-	Slots              int
-	Queue              int
-	// Pieces bounds the prefix cache.
-	Pieces int
-	// PrefillRate is prompt tokens a second, one prompt at a time.
+	// Slots is the maximum batch size, Queue the maximum number of waiting
+	// requests.
+	Slots int
+	Queue int
+	// KVBlocks is the capacity of the prefix cache.
+	KVBlocks int
+	// PrefillRate is in prompt tokens per second; prompts are prefilled one at a
+	// time.
 	PrefillRate float64
-	// TokenInterval is the time between output tokens of one stream alone in
-	// the batch; each further stream adds BatchSlowdown of it.
+	// TokenInterval is the inter-token latency of a stream alone in the batch.
+	// Each further stream adds the fraction BatchSlowdown of it.
 	TokenInterval time.Duration
 	BatchSlowdown float64
-	// ChangeTime is how long an order takes.
+	// ChangeTime is the time from the acceptance of an order until it is applied.
 	ChangeTime time.Duration
-	LoadLag    time.Duration
-	EventLag   time.Duration
-	// EventLoss is the share of cache events that are lost.
-	EventLoss float64
-	Seed      uint64
+	// LoadLag is the minimum time between two load samples, EventLag the delay
+	// of cache events.
+	LoadLag  time.Duration
+	EventLag time.Duration
+	// EventLossRate is the fraction of cache events that are lost.
+	EventLossRate float64
+	Seed          uint64
 }
 
-// DefaultConfig returns a small, fast engine in service.
+// DefaultConfig returns the configuration of a small, fast engine.
 func DefaultConfig(address string) Config {
 	return Config{
 		Address:            address,
@@ -58,23 +65,23 @@
 		ChecksFencingToken: true,
 		Slots:              16,
 		Queue:              64,
-		Pieces:             400,
+		KVBlocks:           400,
 		PrefillRate:        40_000,
 		TokenInterval:      2 * time.Millisecond,
 		BatchSlowdown:      0.02,
 		ChangeTime:         time.Second,
 		LoadLag:            200 * time.Millisecond,
 		EventLag:           300 * time.Millisecond,
-		EventLoss:          0.05,
+		EventLossRate:      0.05,
 		Seed:               1,
 	}
 }
 
-// Record is what GET /standin/record tells.
+// Record is the response of GET /standin/record.
 type Record struct {
 	Orders     []engine.Order `json:"orders"`
 	Violations []string       `json:"violations"`
-	// Runs counts the starts of each request id.
+	// Runs counts how often each request id was accepted.
 	Runs      map[string]int `json:"runs"`
 	Cancelled int            `json:"cancelled"`
 	Imports   int            `json:"imports"`
@@ -83,39 +90,42 @@
 
 // Server is the stand-in.
 type Server struct {
-	config  Config
-	slots   *slots
+	config Config
+	slots  *slots
+	// prefill is held by the request whose prompt is being prefilled.
 	prefill sync.Mutex
 
-	mu       sync.Mutex
-	state    engine.State
-	highest  uint64
-	cache    *cache
-	running  map[string]*generation
-	exported map[string][]uint64
-	record   Record
-	reported engine.Load
-	sampled  time.Time
-	previous engine.Load
+	mu                sync.Mutex
+	state             engine.State
+	highestGeneration uint64
+	cache             *cache
+	running           map[string]*generation
+	exported          map[string][]uint64
+	record            Record
+	// latestLoad was sampled at sampledAt. reportedLoad is the sample before it.
+	latestLoad   engine.Load
+	sampledAt    time.Time
+	reportedLoad engine.Load
 }
 
+// generation is a request that is queued or running.
 type generation struct {
-	cancel    context.CancelFunc
-	remaining int
-	prompt    int
+	cancel                  context.CancelFunc
+	remainingTokens         int
+	unprocessedPromptTokens int
 }
 
 // New returns an engine that is ready.
 func New(c Config) *Server {
 	return &Server{
-		config:   c,
-		slots:    newSlots(c.Slots, c.Queue),
-		state:    engine.State{Incarnation: uuid.NewString(), Applied: c.Order, Ready: true},
-		highest:  c.Order.Generation,
-		cache:    newCache(c),
-		running:  map[string]*generation{},
-		exported: map[string][]uint64{},
-		record:   Record{Runs: map[string]int{}, Violations: []string{}},
+		config:            c,
+		slots:             newSlots(c.Slots, c.Queue),
+		state:             engine.State{Incarnation: uuid.NewString(), Applied: c.Order, Ready: true},
+		highestGeneration: c.Order.Generation,
+		cache:             newCache(c),
+		running:           map[string]*generation{},
+		exported:          map[string][]uint64{},
+		record:            Record{Runs: map[string]int{}, Violations: []string{}},
 	}
 }
 
@@ -141,7 +151,7 @@
 	}
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
-	place, err := s.accept(req, cancel)
+	reservation, err := s.admit(req, cancel)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
@@ -151,15 +161,15 @@
 	w.WriteHeader(http.StatusOK)
 	out := stream{encoder: json.NewEncoder(w), flush: http.NewResponseController(w).Flush}
 	_ = out.flush()
-	if err := s.slots.wait(ctx, place); err != nil {
-		s.forget(req.ID)
+	if err := s.slots.wait(ctx, reservation); err != nil {
+		s.removeRunning(req.ID)
 		out.fail(err)
 		return
 	}
 	finish, err := s.run(ctx, req, out)
-	// The work has ended before anybody is told: an order that follows the
-	// answer at once finds nothing running.
-	s.forget(req.ID)
+	// The request is removed before its last line is sent, so that an order sent
+	// immediately after the answer finds nothing running.
+	s.removeRunning(req.ID)
 	s.slots.release()
 	if err != nil {
 		out.fail(err)
@@ -168,8 +178,8 @@
 	out.send(line{Finish: &finish})
 }
 
-// accept takes the request or says why not.
-func (s *Server) accept(req engine.Request, cancel context.CancelFunc) (*waiter, error) {
+// admit queues the request or returns the reason for its rejection.
+func (s *Server) admit(req engine.Request, cancel context.CancelFunc) (*waiter, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.state.Ready || s.state.Changing {
@@ -179,36 +189,37 @@
 		return nil, fmt.Errorf("engine serves %q", s.state.Applied.Model)
 	}
 	if s.running[req.ID] != nil {
-		s.violate("request %s runs twice at once", req.ID)
+		s.recordViolation("request %s runs twice at once", req.ID)
 		return nil, fmt.Errorf("request runs already")
 	}
 	if req.ResumeText != Answer(req.Prompt, req.ResumeFrom) {
-		s.violate("request %s resumed from another answer", req.ID)
+		s.recordViolation("request %s resumed from another answer", req.ID)
 	}
-	place, ok := s.slots.reserve(req.Priority)
+	reservation, ok := s.slots.reserve(req.Priority)
 	if !ok {
 		return nil, fmt.Errorf("queue is full")
 	}
 	s.record.Runs[req.ID]++
 	s.running[req.ID] = &generation{
-		cancel:    cancel,
-		remaining: req.MaxTokens - req.ResumeFrom,
-		prompt:    promptTokens(req.Prompt),
+		cancel:                  cancel,
+		remainingTokens:         req.MaxTokens - req.ResumeFrom,
+		unprocessedPromptTokens: promptTokens(req.Prompt),
 	}
-	return place, nil
+	return reservation, nil
 }
 
-func (s *Server) forget(id string) {
+func (s *Server) removeRunning(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.running, id)
 }
 
-// run does the prefill and the decode of one request.
+// run prefills the prompt and, unless the request is prefill-only, decodes the
+// answer.
 func (s *Server) run(ctx context.Context, req engine.Request, out stream) (engine.Finish, error) {
-	pieces := route.PrefixBlocks(req.Prompt)
+	blocks := route.PrefixBlocks(req.Prompt)
 	imported := s.importKV(ctx, req.KV)
-	cached, err := s.doPrefill(ctx, req, pieces, imported)
+	cached, err := s.doPrefill(ctx, req, blocks, imported)
 	if err != nil {
 		return engine.Finish{}, err
 	}
@@ -220,19 +231,20 @@
 	}
 	if req.PrefillOnly {
 		finish.OutputTokens = 0
-		finish.KV = s.export(pieces, finish.PromptTokens)
+		finish.KV = s.export(blocks, finish.PromptTokens)
 		return finish, nil
 	}
 	return finish, s.decode(ctx, req, out)
 }
 
-// doPrefill takes the time of the uncached tokens and returns the cached ones.
-func (s *Server) doPrefill(ctx context.Context, req engine.Request, pieces []uint64, imported bool) (int, error) {
+// doPrefill sleeps for the prefill time of the prompt tokens that are neither cached
+// nor imported, caches the prompt and returns the number of the other tokens.
+func (s *Server) doPrefill(ctx context.Context, req engine.Request, blocks []uint64, imported bool) (int, error) {
 	s.prefill.Lock()
 	defer s.prefill.Unlock()
 	s.mu.Lock()
 	total := promptTokens(req.Prompt)
-	cached := min(total, s.cache.hit(pieces)*engine.KVBlockTokens)
+	cached := min(total, s.cache.cachedPrefix(blocks)*engine.KVBlockTokens)
 	s.mu.Unlock()
 	if imported {
 		cached = total
@@ -243,7 +255,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cache.store(time.Now(), pieces)
+	s.cache.store(time.Now(), blocks)
 	return cached, nil
 }
 
@@ -254,11 +266,11 @@
 		if !pause.Sleep(ctx, s.tokenInterval()) {
 			return ctx.Err()
 		}
-		out.send(line{Piece: &engine.Chunk{Text: text[i*width : (i+1)*width], Tokens: 1}})
+		out.send(line{Chunk: &engine.Chunk{Text: text[i*width : (i+1)*width], Tokens: 1}})
 		s.mu.Lock()
 		if g := s.running[req.ID]; g != nil {
-			g.remaining--
-			g.prompt = 0
+			g.remainingTokens--
+			g.unprocessedPromptTokens = 0
 		}
 		s.mu.Unlock()
 	}
@@ -271,16 +283,18 @@
 	return time.Duration(float64(s.config.TokenInterval) * slowdown)
 }
 
-func (s *Server) export(pieces []uint64, tokens int) *engine.Ticket {
+// export makes the KV cache of a prompt available under a new ticket.
+func (s *Server) export(blocks []uint64, tokens int) *engine.Ticket {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	id := uuid.NewString()
-	s.exported[id] = pieces
+	s.exported[id] = blocks
 	s.record.Exports++
 	return &engine.Ticket{ID: id, Source: s.config.Address, Tokens: tokens}
 }
 
-// importKV fetches a KV cache from the engine that exported it.
+// importKV fetches the KV cache of a ticket from the engine that exported it, and
+// reports whether it succeeded. Each export can be fetched once.
 func (s *Server) importKV(ctx context.Context, ticket *engine.Ticket) bool {
 	if ticket == nil {
 		return false
@@ -332,7 +346,7 @@
 	}
 }
 
-// order takes an order and carries it out in the background.
+// order accepts an order and applies it in the background.
 func (s *Server) order(w http.ResponseWriter, r *http.Request) {
 	var o engine.Order
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
@@ -341,33 +355,33 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if o.Generation < s.highest {
+	if o.Generation < s.highestGeneration {
 		if s.config.ChecksFencingToken {
 			http.Error(w, "a newer order was taken", http.StatusConflict)
 			return
 		}
-		s.violate("order %d taken after %d", o.Generation, s.highest)
+		s.recordViolation("order %d taken after %d", o.Generation, s.highestGeneration)
 	}
-	if o.Generation == s.highest && s.config.ChecksFencingToken && len(s.record.Orders) > 0 {
-		// The same order again: nothing to do.
+	if o.Generation == s.highestGeneration && s.config.ChecksFencingToken && len(s.record.Orders) > 0 {
+		// A repeated order has no further effect.
 		w.WriteHeader(http.StatusAccepted)
 		return
 	}
 	if s.state.Changing {
-		s.violate("order %d overlaps another", o.Generation)
+		s.recordViolation("order %d overlaps another", o.Generation)
 	}
 	for id, g := range s.running {
-		s.violate("order %d cut request %s", o.Generation, id)
+		s.recordViolation("order %d cut request %s", o.Generation, id)
 		g.cancel()
 	}
 	s.record.Orders = append(s.record.Orders, o)
-	s.highest = max(s.highest, o.Generation)
+	s.highestGeneration = max(s.highestGeneration, o.Generation)
 	s.state.Changing, s.state.Ready = true, false
-	time.AfterFunc(s.config.ChangeTime, func() { s.applied(o) })
+	time.AfterFunc(s.config.ChangeTime, func() { s.finishOrder(o) })
 	w.WriteHeader(http.StatusAccepted)
 }
 
-func (s *Server) applied(o engine.Order) {
+func (s *Server) finishOrder(o engine.Order) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cache.clear(time.Now())
@@ -382,14 +396,15 @@
 	writeJSON(w, state)
 }
 
-// getLoad answers with a sample that is up to LoadLag old.
+// getLoad returns the last but one load sample. It takes a new sample if the last
+// one is at least LoadLag old.
 func (s *Server) getLoad(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now := time.Now(); now.Sub(s.sampled) >= s.config.LoadLag {
-		s.previous, s.reported, s.sampled = s.reported, s.sample(), now
+	if now := time.Now(); now.Sub(s.sampledAt) >= s.config.LoadLag {
+		s.reportedLoad, s.latestLoad, s.sampledAt = s.latestLoad, s.sample(), now
 	}
-	writeJSON(w, s.previous)
+	writeJSON(w, s.reportedLoad)
 }
 
 func (s *Server) sample() engine.Load {
@@ -398,20 +413,20 @@
 		Running:      running,
 		Queued:       queued,
 		Slots:        s.config.Slots,
-		KVBlocksUsed: s.cache.order.Len(),
-		KVBlocks:     s.config.Pieces,
+		KVBlocksUsed: s.cache.recency.Len(),
+		KVBlocks:     s.config.KVBlocks,
 		PrefillRate:  s.config.PrefillRate,
-		DecodeRate:   s.fullDecodeRate(),
+		DecodeRate:   s.maxDecodeRate(),
 	}
 	for _, g := range s.running {
-		load.QueuedTokens += g.prompt
-		load.RunningTokens += g.remaining
+		load.QueuedTokens += g.unprocessedPromptTokens
+		load.RunningTokens += g.remainingTokens
 	}
 	return load
 }
 
-// fullDecodeRate is the tokens a second of a full batch.
-func (s *Server) fullDecodeRate() float64 {
+// maxDecodeRate returns the decode rate of a full batch in tokens per second.
+func (s *Server) maxDecodeRate() float64 {
 	slots := float64(s.config.Slots)
 	perStream := float64(time.Second) / float64(s.config.TokenInterval)
 	return slots * perStream / (1 + s.config.BatchSlowdown*(slots-1))
@@ -432,21 +447,21 @@
 	writeJSON(w, s.record)
 }
 
-// violate records what must never happen. The caller holds mu.
-func (s *Server) violate(format string, args ...any) {
+// recordViolation records a violation. The caller holds mu.
+func (s *Server) recordViolation(format string, args ...any) {
 	s.record.Violations = append(s.record.Violations, fmt.Sprintf(format, args...))
 }
 
-// Violations returns what must never happen and did.
+// Violations returns the recorded violations.
 func (s *Server) Violations() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.record.Violations)
 }
 
-// line is one line of an answer.
+// line is one line of a streamed answer.
 type line struct {
-	Piece  *engine.Chunk  `json:"piece,omitempty"`
+	Chunk  *engine.Chunk  `json:"piece,omitempty"`
 	Finish *engine.Finish `json:"finish,omitempty"`
 	Error  string         `json:"error,omitempty"`
 }
--- a/test/standin/modelengine/slots.go
+++ b/test/standin/modelengine/slots.go
@@ -6,7 +6,8 @@
 	"sync"
 )
 
-// slots lets a bounded number of generations run; the rest wait by priority.
+// slots is a semaphore for the generations that run concurrently. Its bounded
+// queue is ordered by priority, lowest value first.
 type slots struct {
 	mu      sync.Mutex
 	free    int
@@ -24,7 +25,8 @@
 	return &slots{free: size, size: size, queue: queue}
 }
 
-// reserve returns a waiter, or false when the queue is full.
+// reserve returns a waiter that has a slot or a place in the queue, or false if
+// the queue is full.
 func (s *slots) reserve(priority int) (*waiter, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,18 +39,19 @@
 	if len(s.waiting) >= s.queue {
 		return nil, false
 	}
-	place, _ := slices.BinarySearchFunc(s.waiting, priority, func(o *waiter, p int) int {
-		// Equal priorities keep their order.
+	index, _ := slices.BinarySearchFunc(s.waiting, priority, func(o *waiter, p int) int {
+		// Waiters of equal priority stay in arrival order.
 		if o.priority <= p {
 			return -1
 		}
 		return 1
 	})
-	s.waiting = slices.Insert(s.waiting, place, w)
+	s.waiting = slices.Insert(s.waiting, index, w)
 	return w, true
 }
 
-// wait blocks until the slot is granted. On an error it gives it back.
+// wait blocks until the waiter is granted a slot. If ctx ends first, it returns
+// the error and releases the slot or the place in the queue.
 func (s *slots) wait(ctx context.Context, w *waiter) error {
 	select {
 	case <-w.granted:
@@ -61,9 +64,9 @@
 
 func (s *slots) abandon(w *waiter) {
 	s.mu.Lock()
-	place := slices.Index(s.waiting, w)
-	if place >= 0 {
-		s.waiting = slices.Delete(s.waiting, place, place+1)
+	index := slices.Index(s.waiting, w)
+	if index >= 0 {
+		s.waiting = slices.Delete(s.waiting, index, index+1)
 		s.mu.Unlock()
 		return
 	}
--- a/test/standin/objectstore/control.go
+++ b/test/standin/objectstore/control.go
@@ -5,8 +5,9 @@
 	"net/http"
 )
 
-// ControlHandler serves the store and, below /standin/, what tests in other
-// processes need: faults, counted calls, and all objects of a kind at once.
+// ControlHandler serves the store and, below /standin/, control endpoints for
+// tests in other processes: faults, call counts, and replacing all objects of a
+// kind.
 func (s *Store) ControlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", s)
@@ -36,7 +37,7 @@
 	s.SetKind(r.PathValue("kind"), specs)
 }
 
-// SetKind replaces all objects of a kind; specs are by name.
+// SetKind replaces all objects of a kind with specs, keyed by object name.
 func (s *Store) SetKind(kind string, specs map[string]json.RawMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/test/standin/objectstore/faults.go
+++ b/test/standin/objectstore/faults.go
@@ -5,25 +5,27 @@
 	"time"
 )
 
-// Faults are how the store misbehaves; the zero value is a store that is well.
+// Faults selects the faults of the store; the zero value is a healthy store.
 type Faults struct {
-	// Refuse answers 503 and does nothing.
+	// Unavailable rejects every call with status 503.
 	Unavailable bool `json:"refuse"`
-	// Silent answers nothing until the caller gives up.
+	// Unresponsive leaves every call unanswered until the caller cancels it.
 	Unresponsive bool `json:"silent"`
-	// DelayMS passes before each call is looked at.
+	// DelayMS delays the handling of each call by this time.
 	DelayMS int `json:"delay_ms"`
-	// LoseReplies does writes and closes the connection without an answer.
+	// LoseReplies carries out writes and closes the connection without a
+	// response.
 	LoseReplies bool `json:"lose_replies"`
-	// HoldWatches has watches hear nothing, and hang for as long again as they
-	// wait, while lists tell everything.
-	HoldWatches bool `json:"hold_watches"`
-	// LateWritesMS closes the connection at once and does the write that much
-	// later, if its condition still holds then.
+	// StallWatches makes watches report no changes, hang for twice their wait
+	// time and then close the connection. Lists show all changes.
+	StallWatches bool `json:"hold_watches"`
+	// LateWritesMS closes the connection immediately and carries out the write
+	// after this time, if its precondition still holds then.
 	LateWritesMS int `json:"late_writes_ms"`
 }
 
-// admit reports whether a call goes on.
+// admit applies the faults that come before a call is handled, and reports
+// whether the call is to be handled.
 func (f Faults) admit(w http.ResponseWriter, r *http.Request) bool {
 	time.Sleep(milliseconds(f.DelayMS))
 	switch {
@@ -38,33 +40,34 @@
 	}
 }
 
-// cutsWatches reports whether watches that wait are cut.
-func (f Faults) cutsWatches() bool { return f.Unavailable || f.Unresponsive || f.LoseReplies }
+// abortsWatches reports whether the connections of waiting watches are closed.
+func (f Faults) abortsWatches() bool { return f.Unavailable || f.Unresponsive || f.LoseReplies }
 
 func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// SetFaults replaces the faults that are switched on.
+// SetFaults replaces the active faults.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	s.wake()
+	s.notifyWatches()
 }
 
-// SetStaleLag sets how far stale lists are behind.
+// SetStaleLag sets the age of the state that stale lists return.
 func (s *Store) SetStaleLag(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.staleLag = d
 }
 
-// Calls counts the calls by kind. A watch that waits is one call.
+// Calls counts the calls by kind. A watch counts as one call however long it
+// waits.
 type Calls struct {
 	Reads      int `json:"reads"`
 	StaleReads int `json:"stale_reads"`
 	Writes     int `json:"writes"`
 	Watches    int `json:"watches"`
-	// Waiting is how many watches wait now.
+	// Waiting is the number of watches currently waiting.
 	Waiting int `json:"waiting"`
 }
 
@@ -85,8 +88,8 @@
 	}
 }
 
-// waits counts a watch that waits until the returned function is called.
-func (s *Store) waits() func() {
+// trackWatch counts a watch as waiting until the returned function is called.
+func (s *Store) trackWatch() func() {
 	add := func(n int) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -96,7 +99,7 @@
 	return func() { add(-1) }
 }
 
-// Calls returns the calls so far.
+// Calls returns the counts of all calls so far.
 func (s *Store) Calls() Calls {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/test/standin/objectstore/objectstore.go
+++ b/test/standin/objectstore/objectstore.go
@@ -1,6 +1,6 @@
 // Package objectstore is a stand-in for the platform's metadata store: objects
 // by kind and name, one revision counter, conditional writes, watches and stale
-// reads, with faults that tests switch on.
+// reads, with injectable faults.
 package objectstore
 
 import (
@@ -27,7 +27,7 @@
 	DeletionRequested bool     `json:"deletionRequested"`
 }
 
-// Object is one object.
+// Object is a stored object.
 type Object struct {
 	Metadata Metadata        `json:"metadata"`
 	Spec     json.RawMessage `json:"spec"`
@@ -42,28 +42,28 @@
 type change struct {
 	kind string
 	event
-	at int64
-	// when is the time of the change and before what stood there; a zero
-	// Object if nothing did.
-	when   time.Time
-	before Object
+	revision int64
+	// changedAt is the time of the change. previous is the object before it, or the
+	// zero Object if there was none.
+	changedAt time.Time
+	previous  Object
 }
 
-// pageSize is how many objects one page of a list holds.
+// pageSize is the maximum number of objects on one page of a list.
 const pageSize = 50
 
-// Store is the stand-in. It is an http.Handler.
+// Store is the stand-in; it implements http.Handler.
 type Store struct {
 	mu       sync.Mutex
 	revision int64
 	kinds    map[string]map[string]Object
 	history  []change
-	// forgotten is the revision up to which the history is gone.
-	forgotten int64
+	// compacted is the revision up to which the history has been dropped.
+	compacted int64
 	faults    Faults
-	// staleLag is how far stale lists are behind.
+	// staleLag is the age of the state that stale lists return.
 	staleLag time.Duration
-	// changed is closed at each change.
+	// changed is closed and replaced at each change, to wake waiting watches.
 	changed chan struct{}
 	calls   Calls
 }
@@ -77,16 +77,18 @@
 	}
 }
 
-// DropHistory forgets all changes so far and cuts the watches.
+// CompactHistory drops the change history. Watches from an earlier revision get 410
+// Gone.
 func (s *Store) CompactHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgotten = s.revision
+	s.compacted = s.revision
 	s.history = nil
-	s.wake()
+	s.notifyWatches()
 }
 
-// Put writes an object as the operator or a backend server would.
+// Put writes an object unconditionally, as the operator or a backend server does,
+// and returns its revision.
 func (s *Store) Put(kind, name string, spec any) int64 {
 	data, err := json.Marshal(spec)
 	if err != nil {
@@ -95,14 +97,14 @@
 	return s.PutRaw(kind, name, data)
 }
 
-// PutRaw writes an object whose value need not make sense.
+// PutRaw writes an object whose spec need not be valid, and returns its revision.
 func (s *Store) PutRaw(kind, name string, spec []byte) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.write(kind, name, spec).Metadata.Revision
 }
 
-// Remove removes an object.
+// Remove removes an object and returns the revision of the store.
 func (s *Store) Remove(kind, name string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,7 +138,7 @@
 	o.Metadata.Revision = s.revision
 	o.Spec = slices.Clone(spec)
 	objects[name] = o
-	s.note(kind, before, o, false)
+	s.appendHistory(kind, before, o, false)
 	return o
 }
 
@@ -149,17 +151,17 @@
 	s.revision++
 	o.Metadata.Revision = s.revision
 	delete(s.kinds[kind], name)
-	s.note(kind, before, o, true)
+	s.appendHistory(kind, before, o, true)
 }
 
-func (s *Store) note(kind string, before, o Object, removed bool) {
+func (s *Store) appendHistory(kind string, before, o Object, removed bool) {
 	s.history = append(s.history, change{
-		kind: kind, event: event{Object: o, Removed: removed}, at: s.revision, when: time.Now(), before: before,
+		kind: kind, event: event{Object: o, Removed: removed}, revision: s.revision, changedAt: time.Now(), previous: before,
 	})
-	s.wake()
+	s.notifyWatches()
 }
 
-func (s *Store) wake() {
+func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -175,7 +177,7 @@
 	}
 	kind, name, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/-/objects/"), "/")
 	if r.Method == http.MethodGet {
-		s.read(w, r, kind, name)
+		s.serveRead(w, r, kind, name)
 		return
 	}
 	data, err := io.ReadAll(r.Body)
@@ -184,10 +186,10 @@
 		return
 	}
 	if faults.LateWritesMS > 0 {
-		time.AfterFunc(milliseconds(faults.LateWritesMS), func() { s.change(r, data, kind, name) })
+		time.AfterFunc(milliseconds(faults.LateWritesMS), func() { s.applyWrite(r, data, kind, name) })
 		panic(http.ErrAbortHandler)
 	}
-	status, answer := s.change(r, data, kind, name)
+	status, answer := s.applyWrite(r, data, kind, name)
 	if faults.LoseReplies {
 		panic(http.ErrAbortHandler)
 	}
@@ -202,7 +204,7 @@
 	}
 }
 
-func (s *Store) read(w http.ResponseWriter, r *http.Request, kind, name string) {
+func (s *Store) serveRead(w http.ResponseWriter, r *http.Request, kind, name string) {
 	query := r.URL.Query()
 	if query.Has("watch") {
 		s.watch(w, r, kind)
@@ -227,20 +229,20 @@
 	reply(w, http.StatusOK, map[string]any{"items": items, "hasMore": more, "at": s.revision})
 }
 
-// objectsAt returns the objects of a kind as they stood at a time, as far as the
-// history goes back.
+// objectsAt returns the objects of a kind as of a time, as far as the history
+// goes back.
 func (s *Store) objectsAt(kind string, at time.Time) map[string]Object {
 	objects := maps.Clone(s.kinds[kind])
 	for _, c := range slices.Backward(s.history) {
-		if c.when.Before(at) {
+		if c.changedAt.Before(at) {
 			break
 		}
 		switch {
 		case c.kind != kind:
-		case c.before.Metadata.Name == "":
+		case c.previous.Metadata.Name == "":
 			delete(objects, c.Object.Metadata.Name)
 		default:
-			objects[c.before.Metadata.Name] = c.before
+			objects[c.previous.Metadata.Name] = c.previous
 		}
 	}
 	return objects
@@ -261,20 +263,20 @@
 }
 
 func (s *Store) watch(w http.ResponseWriter, r *http.Request, kind string) {
-	defer s.waits()()
+	defer s.trackWatch()()
 	from, _ := strconv.ParseInt(r.URL.Query().Get("watch"), 10, 64)
 	wait, _ := strconv.ParseInt(r.URL.Query().Get("waitMs"), 10, 64)
 	deadline := time.After(milliseconds(int(wait)))
 	for {
 		s.mu.Lock()
-		events, gone := s.since(kind, from)
+		events, gone := s.eventsSince(kind, from)
 		at, changed, faults := s.revision, s.changed, s.faults
 		s.mu.Unlock()
 		switch {
-		case faults.cutsWatches():
+		case faults.abortsWatches():
 			panic(http.ErrAbortHandler)
-		case faults.HoldWatches:
-			hang(r.Context(), deadline, milliseconds(int(wait)))
+		case faults.StallWatches:
+			stall(r.Context(), deadline, milliseconds(int(wait)))
 			panic(http.ErrAbortHandler)
 		case gone:
 			reply(w, http.StatusGone, nil)
@@ -294,8 +296,9 @@
 	}
 }
 
-// hang waits for what is left of a watch and as long again.
-func hang(caller context.Context, deadline <-chan time.Time, wait time.Duration) {
+// stall waits until the deadline of a watch and then for its whole wait time
+// again, or until the caller cancels.
+func stall(caller context.Context, deadline <-chan time.Time, wait time.Duration) {
 	select {
 	case <-caller.Done():
 		return
@@ -307,20 +310,21 @@
 	}
 }
 
-func (s *Store) since(kind string, from int64) (events []event, gone bool) {
-	if from < s.forgotten {
+func (s *Store) eventsSince(kind string, from int64) (events []event, gone bool) {
+	if from < s.compacted {
 		return nil, true
 	}
 	for _, c := range s.history {
-		if c.kind == kind && c.at > from {
+		if c.kind == kind && c.revision > from {
 			events = append(events, c.event)
 		}
 	}
 	return events, false
 }
 
-// change does a write.
-func (s *Store) change(r *http.Request, data []byte, kind, name string) (int, any) {
+// applyWrite carries out a create, update or delete and returns the status and
+// the body of the response.
+func (s *Store) applyWrite(r *http.Request, data []byte, kind, name string) (int, any) {
 	var body Object
 	if len(data) > 0 {
 		if err := json.Unmarshal(data, &body); err != nil {
--- a/test/standin/plainservice/plainservice.go
+++ b/test/standin/plainservice/plainservice.go
@@ -1,5 +1,5 @@
-// Package plainservice is a small stand-in for a service beside the engines. It
-// places holds and answers lookups, and counts how often each hold ran.
+// Package plainservice is a small stand-in for a service that is no model
+// engine. It places holds, answers lookups and counts how often each hold ran.
 package plainservice
 
 import (
@@ -11,38 +11,37 @@
 	"time"
 )
 
-// maxBody bounds the body of a call in bytes.
+// maxBody is the size limit of a request body in bytes.
 const maxBody = 4 << 20
 
-// Config says how the stand-in behaves from the start.
+// Config is the initial configuration of the stand-in.
 type Config struct {
-	// Delay is how long each call takes.
+	// Delay is the duration of each call.
 	Delay time.Duration
 }
 
-// Hold is the body of POST /holds and of its answer.
+// Hold is the body of POST /holds and of its response.
 type Hold struct {
-	// Subject is what is held. Two runs for one subject are the fault that
-	// tests look for.
+	// Subject identifies what is held. Tests fail if one subject is run twice.
 	Subject string `json:"subject"`
-	// Number counts the holds placed.
+	// Number is the number of distinct subjects held so far, including this one.
 	Number int `json:"number,omitempty"`
-	// Pad fills the answer up, so that a cut one shows.
-	Pad string `json:"pad,omitempty"`
+	// Padding makes the response longer, so that truncation is noticed.
+	Padding string `json:"pad,omitempty"`
 }
 
-// Record is what GET /standin/runs tells.
+// Record is the response of GET /standin/runs.
 type Record struct {
-	// Runs counts the runs of each subject, begun or ended.
+	// Runs counts the runs of each subject, including unfinished ones.
 	Runs    map[string]int `json:"runs"`
 	Lookups int            `json:"lookups"`
 }
 
-// Faults are the faults switched on.
+// Faults are the active faults.
 type Faults struct {
 	DelayMS int `json:"delay_ms"`
-	// Break cuts the answer of every call in its middle.
-	Break bool `json:"break"`
+	// TruncateAnswers closes the connection after half of each response body.
+	TruncateAnswers bool `json:"break"`
 }
 
 // Server is the stand-in.
@@ -87,7 +86,7 @@
 	s.mu.Unlock()
 
 	time.Sleep(time.Duration(faults.DelayMS) * time.Millisecond)
-	answer(w, http.StatusCreated, hold, faults.Break)
+	answer(w, http.StatusCreated, hold, faults.TruncateAnswers)
 }
 
 func (s *Server) lookUp(w http.ResponseWriter, r *http.Request) {
@@ -101,11 +100,11 @@
 		http.Error(w, `{"error":"no such hold"}`, http.StatusNotFound)
 		return
 	}
-	answer(w, http.StatusOK, hold, faults.Break)
+	answer(w, http.StatusOK, hold, faults.TruncateAnswers)
 }
 
-// Calendar is the answer of GET /calendar: it repeats the question, so that a
-// caller can tell whose answer it got.
+// Calendar is the response of GET /calendar. It echoes the query, so that a
+// caller can check that the response is its own.
 type Calendar struct {
 	Query string `json:"query"`
 	Days  []int  `json:"days"`
@@ -121,7 +120,7 @@
 	for i := range days {
 		days[i] = i + 1
 	}
-	answer(w, http.StatusOK, Calendar{Query: r.URL.RawQuery, Days: days}, faults.Break)
+	answer(w, http.StatusOK, Calendar{Query: r.URL.RawQuery, Days: days}, faults.TruncateAnswers)
 }
 
 func (s *Server) runs(w http.ResponseWriter, _ *http.Request) {
@@ -141,8 +140,9 @@
 	s.mu.Unlock()
 }
 
-// answer writes v; a broken answer ends half-way through what its length says.
-func answer(w http.ResponseWriter, status int, v any, broken bool) {
+// answer writes v as JSON. With truncate, it closes the connection after half of
+// the announced length.
+func answer(w http.ResponseWriter, status int, v any, truncate bool) {
 	body, err := json.Marshal(v)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -151,7 +151,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
-	if !broken {
+	if !truncate {
 		_, _ = w.Write(body)
 		return
 	}
--- a/test/standin/runner/runner.go
+++ b/test/standin/runner/runner.go
@@ -1,6 +1,7 @@
 // Package runner is a stand-in for the platform's backend servers: plain
-// services and model engines, with faults that tests switch on. It notes each
-// run, so that a test can tell whether a request ran twice or after "not run".
+// services and model engines, with injectable faults. It records each run, so
+// that a test can detect a request that ran twice or that ran after it was
+// rejected as not run.
 package runner
 
 import (
@@ -17,70 +18,70 @@
 	"time"
 )
 
-// Fault is how the runner misbehaves.
+// Fault is a fault of the server.
 type Fault uint8
 
 // The faults.
 const (
 	Healthy Fault = iota
-	// Shedding answers that it did not run the request.
+	// Shedding rejects requests as not run, with status 503.
 	Shedding
-	// LosingAnswers runs the request and closes the connection.
+	// DroppingAnswers runs the request and closes the connection without an answer.
 	DroppingAnswers
-	// BreakingOff ends a stream in the middle of an event.
+	// TruncatingStream closes the connection in the middle of a stream's second event.
 	TruncatingStream
 	// Failing runs the request and answers 500.
 	Failing
-	// Unsealed answers without the authentication code.
+	// Unsealed answers without the Response-Seal header.
 	Unsealed
-	// Nonsense answers with bytes that are no HTTP.
+	// MalformedAnswer answers with bytes that are not HTTP.
 	MalformedAnswer
-	// Silent takes the request and never answers.
+	// Unresponsive runs the request and does not answer.
 	Unresponsive
-	// Stalling falls silent in the middle of a stream's second event, with its
+	// Stalling stops in the middle of a stream's second event and leaves the
 	// connection open.
 	Stalling
-	// ExtraAnswer sends a second answer after each.
+	// DuplicateAnswer sends each response twice on the same connection.
 	DuplicateAnswer
 )
 
-// Run is one request that ran.
+// Run is a request that ran.
 type Run struct {
 	ID, Method, Target, LastEventID string
 	Body                            string
 	Header                          http.Header
 }
 
-// Runner is the stand-in. It is an http.Handler.
+// BackendServer is the stand-in; it implements http.Handler.
 type BackendServer struct {
-	// ID is the instance that requests must expect.
+	// ID is the instance id; requests with another Expect-Instance are rejected.
 	ID string
-	// Phase is the role of a model engine, empty for a plain service.
+	// Phase is the role of a model engine, or empty for a plain service.
 	Phase string
-	// Events is how many events a stream has, EventGap the pause between them.
+	// Events is the number of events of a stream, EventInterval the pause between them.
 	Events        int
 	EventInterval time.Duration
-	// Fatal is the body of requests that end the runner an EventGap after it began to
-	// run them, and Crash how it ends. Both are set before it serves.
+	// FatalBody is the body of requests that crash the server an EventInterval after they
+	// started to run; Crash is called then. Both are set before it serves.
 	FatalBody string
 	Crash     func()
 
-	mu       sync.Mutex
-	fault    Fault
-	limit    string
-	limitOn  LimitScope
-	got      []time.Time
-	runs     []Run
-	prefills []Run
-	handles  map[string]bool
-	next     int
-	open     int
-	orders   int64
-	ordered  []Order
-	born     int64
+	mu             sync.Mutex
+	fault          Fault
+	limit          string
+	limitScope     LimitScope
+	requestTimes   []time.Time
+	runs           []Run
+	prefills       []Run
+	handles        map[string]bool
+	lastHandle     int
+	inFlight       int
+	orderSequence  int64
+	acceptedOrders []Order
+	startedAtMS    int64
 }
 
-// Order is an order that the runner got.
+// Order is the body of an order to an engine.
 type Order struct {
 	Operation    string `json:"operation"`
 	Phase        string `json:"phase"`
@@ -89,181 +90,184 @@
 	Precondition *int64 `json:"precondition"`
 }
 
-// New returns a healthy runner.
+// New returns a server without faults.
 func New(id, phase string) *BackendServer {
-	return &BackendServer{ID: id, Phase: phase, Events: 3, handles: make(map[string]bool), born: time.Now().UnixMilli()}
+	return &BackendServer{ID: id, Phase: phase, Events: 3, handles: make(map[string]bool), startedAtMS: time.Now().UnixMilli()}
 }
 
-// Restart has the runner know nothing of before, as another start under its id.
-func (r *BackendServer) Restart() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.born = time.Now().UnixMilli()
-	r.orders = 0
-	r.limit = ""
-	r.handles = make(map[string]bool)
+// Restart clears the state that a real server loses when it is restarted under
+// the same id. Recorded runs stay.
+func (s *BackendServer) Restart() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.startedAtMS = time.Now().UnixMilli()
+	s.orderSequence = 0
+	s.limit = ""
+	s.handles = make(map[string]bool)
 }
 
-// SetFault switches a fault on, or off with Healthy.
-func (r *BackendServer) SetFault(f Fault) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.fault = f
+// SetFault sets the active fault; Healthy is none.
+func (s *BackendServer) SetFault(f Fault) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.fault = f
 }
 
-// Answers are those of a runner that name its limit.
+// LimitScope selects the answers that carry the Server-Limit header.
 type LimitScope uint8
 
-// The answers.
+// The selections.
 const (
 	AllAnswers LimitScope = iota
-	// Rejections are answers that a request did not run.
+	// Rejections are the answers that reject a request as not run.
 	Rejections
-	// Reads are answers to requests whose prompt is read only.
+	// PrefillAnswers are the answers to prefill-only requests.
 	PrefillAnswers
 )
 
-// SetLimit has the runner name a limit in some of its answers, none if text is empty.
-func (r *BackendServer) SetLimit(text string, on LimitScope) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.limit, r.limitOn = text, on
+// SetLimit makes the server send a Server-Limit header in the selected answers, or
+// none if text is empty.
+func (s *BackendServer) SetLimit(text string, on LimitScope) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.limit, s.limitScope = text, on
 }
 
-// nameLimit adds the limit to the head of an answer.
-func (r *BackendServer) nameLimit(w http.ResponseWriter, of LimitScope) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.limit != "" && (r.limitOn == AllAnswers || r.limitOn == of) {
-		w.Header().Set("Server-Limit", r.limit)
+// addLimitHeader adds the Server-Limit header if it is to be sent in this kind of
+// answer.
+func (s *BackendServer) addLimitHeader(w http.ResponseWriter, of LimitScope) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.limit != "" && (s.limitScope == AllAnswers || s.limitScope == of) {
+		w.Header().Set("Server-Limit", s.limit)
 	}
 }
 
-// Got returns when requests came, those that were rejected and those whose prompt was
-// read only included.
-func (r *BackendServer) RequestTimes() []time.Time {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return append([]time.Time(nil), r.got...)
+// RequestTimes returns the arrival times of all requests, including rejected and
+// prefill-only ones.
+func (s *BackendServer) RequestTimes() []time.Time {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return append([]time.Time(nil), s.requestTimes...)
 }
 
-// Runs returns the requests that ran.
-func (r *BackendServer) Runs() []Run {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return append([]Run(nil), r.runs...)
+// Runs returns the requests that ran, without prefill-only ones.
+func (s *BackendServer) Runs() []Run {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return append([]Run(nil), s.runs...)
 }
 
-// Prefills returns the requests whose prompt was read only.
-func (r *BackendServer) Prefills() []Run {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return append([]Run(nil), r.prefills...)
+// Prefills returns the prefill-only requests that ran.
+func (s *BackendServer) Prefills() []Run {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return append([]Run(nil), s.prefills...)
 }
 
-// Open returns how many requests are being answered.
-func (r *BackendServer) InFlight() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.open
+// InFlight returns the number of requests being answered.
+func (s *BackendServer) InFlight() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.inFlight
 }
 
-func (r *BackendServer) addOpen(n int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.open += n
+func (s *BackendServer) addInFlight(n int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.inFlight += n
 }
 
-// Ordered returns the orders that were accepted.
-func (r *BackendServer) AcceptedOrders() []Order {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return append([]Order(nil), r.ordered...)
+// AcceptedOrders returns the accepted orders that changed the phase.
+func (s *BackendServer) AcceptedOrders() []Order {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return append([]Order(nil), s.acceptedOrders...)
 }
 
-// Entry is the runner's entry in the store.
-func (r *BackendServer) Registration(service, address, zone, state string) map[string]any {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	entry := map[string]any{
+// Registration returns the server's object for the metadata store.
+func (s *BackendServer) Registration(service, address, zone, state string) map[string]any {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	object := map[string]any{
 		"serviceName": service, "address": address, "zone": zone, "version": "v1", "capacity": 6,
-		"state": state, "coldLeftMs": 0, "sequence": r.orders, "born": r.born,
+		"state": state, "coldLeftMs": 0, "sequence": s.orderSequence, "born": s.startedAtMS,
 	}
-	if r.Phase != "" {
-		entry["phase"] = r.Phase
-		entry["models"] = []any{map[string]any{"name": "m", "version": 1, "adapters": []string{}}}
+	if s.Phase != "" {
+		object["phase"] = s.Phase
+		object["models"] = []any{map[string]any{"name": "m", "version": 1, "adapters": []string{}}}
 	}
-	return entry
+	return object
 }
 
 // ServeHTTP implements http.Handler.
-func (r *BackendServer) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+func (s *BackendServer) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	switch {
 	case req.URL.Path == "/-/report":
-		r.report(w)
+		s.report(w)
 	case req.URL.Path == "/-/order":
-		r.order(w, req)
+		s.order(w, req)
 	case req.URL.Path == "/-/kv-list":
 		_ = json.NewEncoder(w).Encode(map[string]any{"epoch": 1, "next": 0, "held": []any{}})
 	case strings.HasPrefix(req.URL.Path, "/-/kv-handle/"):
-		r.mu.Lock()
-		delete(r.handles, strings.TrimPrefix(req.URL.Path, "/-/kv-handle/"))
-		r.mu.Unlock()
+		s.mu.Lock()
+		delete(s.handles, strings.TrimPrefix(req.URL.Path, "/-/kv-handle/"))
+		s.mu.Unlock()
 		w.Header().Set("Request-Id", req.Header.Get("Request-Id"))
 	default:
-		r.serve(w, req)
+		s.serve(w, req)
 	}
 }
 
-func (r *BackendServer) report(w http.ResponseWriter) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (s *BackendServer) report(w http.ResponseWriter) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	_ = json.NewEncoder(w).Encode(map[string]any{
-		"phase": r.Phase, "models": []any{}, "busy": false, "sequence": r.orders,
-		"queued": 0, "active": 0, "kvUsed": 0, "kvTotal": 100_000, "kvHandles": len(r.handles), "born": r.born,
+		"phase": s.Phase, "models": []any{}, "busy": false, "sequence": s.orderSequence,
+		"queued": 0, "active": 0, "kvUsed": 0, "kvTotal": 100_000, "kvHandles": len(s.handles), "born": s.startedAtMS,
 	})
 }
 
-func (r *BackendServer) order(w http.ResponseWriter, req *http.Request) {
+func (s *BackendServer) order(w http.ResponseWriter, req *http.Request) {
 	var o Order
 	if err := json.NewDecoder(req.Body).Decode(&o); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	switch {
-	case o.Precondition != nil && *o.Precondition != r.orders:
+	case o.Precondition != nil && *o.Precondition != s.orderSequence:
 		w.WriteHeader(http.StatusConflict)
-	case o.Phase == r.Phase:
+	case o.Phase == s.Phase:
 		w.WriteHeader(http.StatusOK)
 	default:
-		r.orders++
-		r.ordered = append(r.ordered, o)
-		r.Phase = o.Phase
+		s.orderSequence++
+		s.acceptedOrders = append(s.acceptedOrders, o)
+		s.Phase = o.Phase
 		w.WriteHeader(http.StatusAccepted)
 	}
 }
 
-// serve answers a caller's request.
-func (r *BackendServer) serve(w http.ResponseWriter, req *http.Request) {
+// serve handles a caller's request.
+func (s *BackendServer) serve(w http.ResponseWriter, req *http.Request) {
 	id := req.Header.Get("Request-Id")
 	body, err := io.ReadAll(req.Body)
 	if err != nil {
 		return
 	}
 	w.Header().Set("Request-Id", id)
-	if req.Header.Get("Expect-Instance") != r.ID {
-		w.Header().Set("Instance-Id", r.ID)
+	if req.Header.Get("Expect-Instance") != s.ID {
+		w.Header().Set("Instance-Id", s.ID)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	r.mu.Lock()
-	fault := r.fault
-	r.got = append(r.got, time.Now())
-	r.mu.Unlock()
+	s.mu.Lock()
+	fault := s.fault
+	s.requestTimes = append(s.requestTimes, time.Now())
+	s.mu.Unlock()
 	if fault == Shedding {
-		r.notRun(w)
+		s.rejectNotRun(w)
 		return
 	}
 	run := Run{
@@ -271,67 +275,69 @@
 		LastEventID: req.Header.Get("Last-Event-Id"), Header: req.Header.Clone(),
 	}
 	if req.Header.Get("Serving-Phase") == "prefill" {
-		r.prefill(w, run)
+		s.prefill(w, run)
 		return
 	}
-	if !r.takeSource(req.Header.Get("Kv-Source")) {
-		r.notRun(w)
+	if !s.takeKVSource(req.Header.Get("Kv-Source")) {
+		s.rejectNotRun(w)
 		return
 	}
-	r.mu.Lock()
-	r.runs = append(r.runs, run)
-	r.mu.Unlock()
-	if r.FatalBody != "" && run.Body == r.FatalBody {
-		time.Sleep(r.EventInterval)
-		r.Crash()
+	s.mu.Lock()
+	s.runs = append(s.runs, run)
+	s.mu.Unlock()
+	if s.FatalBody != "" && run.Body == s.FatalBody {
+		time.Sleep(s.EventInterval)
+		s.Crash()
 		panic(http.ErrAbortHandler)
 	}
-	r.answer(w, req, run, fault)
+	s.answer(w, req, run, fault)
 }
 
-func (r *BackendServer) notRun(w http.ResponseWriter) {
-	r.nameLimit(w, Rejections)
+func (s *BackendServer) rejectNotRun(w http.ResponseWriter) {
+	s.addLimitHeader(w, Rejections)
 	w.Header().Set("Not-Executed", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func (r *BackendServer) prefill(w http.ResponseWriter, run Run) {
-	r.nameLimit(w, PrefillAnswers)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.Phase != "prefill" {
+func (s *BackendServer) prefill(w http.ResponseWriter, run Run) {
+	s.addLimitHeader(w, PrefillAnswers)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.Phase != "prefill" {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	r.prefills = append(r.prefills, run)
-	r.next++
-	handle := fmt.Sprintf("h%d", r.next)
-	r.handles[handle] = true
+	s.prefills = append(s.prefills, run)
+	s.lastHandle++
+	handle := fmt.Sprintf("h%d", s.lastHandle)
+	s.handles[handle] = true
 	_ = json.NewEncoder(w).Encode(map[string]any{"kvHandle": handle, "tokens": 1, "version": 1})
 }
 
-// sources holds the handles of all runners of a process by address.
+// kvSources are the servers of this process by address, for KV transfers.
 var (
-	sourcesMu sync.Mutex
-	sources   = map[string]*BackendServer{}
+	kvSourcesMu sync.Mutex
+	kvSources   = map[string]*BackendServer{}
 )
 
-// Serve registers the runner at address for transfers of KV cache.
-func (r *BackendServer) RegisterKVSource(address string) {
-	sourcesMu.Lock()
-	defer sourcesMu.Unlock()
-	sources[address] = r
+// RegisterKVSource registers the server as a source of KV transfers at address.
+func (s *BackendServer) RegisterKVSource(address string) {
+	kvSourcesMu.Lock()
+	defer kvSourcesMu.Unlock()
+	kvSources[address] = s
 }
 
-// takeSource takes the KV cache that a request names; true without one.
-func (r *BackendServer) takeSource(source string) bool {
+// takeKVSource consumes the KV handle that a request names and reports whether the
+// request can run: it cannot if the handle does not exist, or, without a handle,
+// on a prefill engine.
+func (s *BackendServer) takeKVSource(source string) bool {
 	if source == "" {
-		return r.Phase != "prefill"
+		return s.Phase != "prefill"
 	}
 	address, handle, _ := strings.Cut(source, "/")
-	sourcesMu.Lock()
-	from := sources[address]
-	sourcesMu.Unlock()
+	kvSourcesMu.Lock()
+	from := kvSources[address]
+	kvSourcesMu.Unlock()
 	if from == nil {
 		return false
 	}
@@ -342,26 +348,26 @@
 	return ok
 }
 
-// answer answers a run.
-func (r *BackendServer) answer(w http.ResponseWriter, req *http.Request, run Run, fault Fault) {
-	r.addOpen(1)
-	defer r.addOpen(-1)
+// answer writes the answer to a request that ran, with the fault applied.
+func (s *BackendServer) answer(w http.ResponseWriter, req *http.Request, run Run, fault Fault) {
+	s.addInFlight(1)
+	defer s.addInFlight(-1)
 	switch fault {
 	case DroppingAnswers:
 		panic(http.ErrAbortHandler)
 	case MalformedAnswer:
-		raw(w, "this is no answer\r\n\r\n")
+		writeRaw(w, "this is no answer\r\n\r\n")
 		return
 	case Unresponsive:
 		<-req.Context().Done()
 		return
 	case DuplicateAnswer:
 		one := fmt.Sprintf("HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nResponse-Seal: s\r\nContent-Length: 2\r\n\r\nok", run.ID)
-		raw(w, one+one)
+		writeRaw(w, one+one)
 		return
 	}
 	w.Header().Set("Server-Load", "1,0,6")
-	r.nameLimit(w, AllAnswers)
+	s.addLimitHeader(w, AllAnswers)
 	if fault != Unsealed {
 		w.Header().Set("Response-Seal", Seal(run.ID))
 	}
@@ -370,15 +376,15 @@
 		return
 	}
 	if strings.Contains(run.Target, "stream") {
-		r.stream(req.Context(), w, run, fault)
+		s.stream(req.Context(), w, run, fault)
 		return
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(Body(run.ID))))
 	_, _ = io.WriteString(w, Body(run.ID))
 }
 
-// raw writes bytes to the connection, and closes it.
-func raw(w http.ResponseWriter, text string) {
+// writeRaw writes text directly to the connection and closes it.
+func writeRaw(w http.ResponseWriter, text string) {
 	c, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
 		return
@@ -388,20 +394,21 @@
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.CloseWrite()
 	}
-	// What the peer still sends is read, so that the close is no reset.
+	// Closing with unread data would reset the connection, and the peer might lose
+	// the text.
 	_ = c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	_, _ = io.Copy(io.Discard, c)
 }
 
-// stream answers with events that begin after the one that the caller has.
-func (r *BackendServer) stream(ctx context.Context, w http.ResponseWriter, run Run, fault Fault) {
+// stream sends the events after the one named in Last-Event-Id, or all events.
+func (s *BackendServer) stream(ctx context.Context, w http.ResponseWriter, run Run, fault Fault) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	first := 1
 	if n, err := strconv.Atoi(run.LastEventID); err == nil {
 		first = n + 1
 	}
 	flush := w.(http.Flusher).Flush
-	for n := first; n <= r.Events; n++ {
+	for n := first; n <= s.Events; n++ {
 		event := Event(run.ID, n)
 		if (fault == TruncatingStream || fault == Stalling) && n == 2 {
 			_, _ = io.WriteString(w, event[:len(event)/2])
@@ -413,23 +420,23 @@
 		}
 		_, _ = io.WriteString(w, event)
 		flush()
-		if n < r.Events {
-			time.Sleep(r.EventInterval)
+		if n < s.Events {
+			time.Sleep(s.EventInterval)
 		}
 	}
 }
 
-// Seal is the authentication code of an answer.
+// Seal returns the Response-Seal of the answer to a request.
 func Seal(id string) string {
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, id)
 	return strconv.FormatUint(h.Sum64(), 16)
 }
 
-// Body is the answer of a plain service to a request.
+// Body returns the response body of a plain service to a request.
 func Body(id string) string { return "answer to " + id }
 
-// Event is one event of a stream.
+// Event returns the n-th event of the stream for a request.
 func Event(id string, n int) string {
 	return fmt.Sprintf("id: %d\ndata: %s-%d\n\n", n, id, n)
 }
