--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -30,7 +30,7 @@
 	Draining bool
 	// WarmUpRemaining is how much longer the server expects to be slow after its
 	// start, if it registered that.
-	WarmUpRemaining time.Duration
+	WarmUpRemaining time.Duration `json:"ColdFor"`
 	Role            Role
 }
 
