--- a/test/e2e/planned_test.go
+++ b/test/e2e/planned_test.go
@@ -224,8 +224,11 @@
 		version := expectConfigActive(f, 0)
 		Expect(f.SetPlatformFaults(context.Background(), objectstore.Faults{Unavailable: true})).To(Succeed())
 		f.Processes["entry-2"].Kill()
+		restarted := time.Now()
 		Expect(f.Processes["entry-2"].Restart()).To(Succeed())
-		Eventually(func() map[string]uint64 { return configVersions(f) }, eventuallyTimeout, "200ms").Should(
+		// configVersions fails the spec if the tool cannot connect.
+		expectOperatorListener(f, "entry-2")
+		Eventually(func() map[string]uint64 { return configVersions(f) }, eventuallyTimeout-time.Since(restarted), "200ms").Should(
 			And(HaveLen(len(f.VMs)), HaveEach(version)))
 		l := f.StartLoad()
 		l.SetEntries("entry-2")
--- a/test/e2e/tool_test.go
+++ b/test/e2e/tool_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"net"
 	"net/http"
 	"os"
 	"os/exec"
@@ -48,6 +49,19 @@
 	return output
 }
 
+// expectOperatorListener waits until a restarted process accepts connections at its
+// operator address.
+func expectOperatorListener(f *fleet.Fleet, name string) {
+	GinkgoHelper()
+	Eventually(func() error {
+		conn, err := net.Dial("tcp", f.OperatorAddress(name))
+		if err != nil {
+			return err
+		}
+		return conn.Close()
+	}, eventuallyTimeout, "20ms").Should(Succeed(), name)
+}
+
 func status(f *fleet.Fleet, entry string) operator.Status {
 	GinkgoHelper()
 	var s operator.Status
