--- a/test/e2e/faults_test.go
+++ b/test/e2e/faults_test.go
@@ -114,6 +114,8 @@
 		time.Sleep(faultDuration)
 		Expect(backend.Restart()).To(Succeed())
 		expectRecovery(l)
+		// expectGuarantees fails the spec if it cannot read the engine's record.
+		Expect(backend.WaitReady(context.Background())).To(Succeed())
 		results := l.Stop()
 		expectNoneFailed(results)
 		expectGuarantees(f, results)
