--- a/Makefile
+++ b/Makefile
@@ -19,7 +19,7 @@
 	$(BIN)/quickstart -bin $(BIN) $(if $(ONCE),-once)
 
 .PHONY: test
-test: ## every test; what CI calls
+test: ## run every test, as CI does
 	scripts/test
 
 .PHONY: check
@@ -35,7 +35,7 @@
 	$(TOOL) buf generate --template internal/wire/buf.gen.yaml internal/wire
 
 .PHONY: bench
-bench: build ## added latency and cost of entry and sidecar, side by side with the bare engine
+bench: build ## latency and cost that entry and sidecar add to direct requests to the engine
 	$(BIN)/bench -bin $(BIN)
 
 .PHONY: soak
@@ -43,7 +43,7 @@
 	$(GO) run ./test/cmd/soak -seed $(SEED) -runs $(RUNS)
 
 .PHONY: soak-processes
-soak-processes: build ## seeded runs of real gateways under faults from outside (SEED=n RUNS=m)
+soak-processes: build ## seeded runs of real gateway processes under injected faults (SEED=n RUNS=m)
 	$(BIN)/soak-processes -bin $(BIN) -seed $(SEED) -runs $(RUNS)
 
 .PHONY: experiment
--- a/test/cmd/quickstart/main.go
+++ b/test/cmd/quickstart/main.go
@@ -1,6 +1,6 @@
-// Command quickstart runs the main use cases on a local fleet with fake backend
-// servers: a streamed draft, and a hold sent twice with one idempotency key through
-// two entries.
+// Command quickstart runs the main use cases on a local fleet of two entries, their
+// sidecars and stand-ins: a streamed draft, and a hold sent twice with one
+// idempotency key through two entries.
 //
 // With -once it stops the fleet afterwards and exits with 0 only if all answers
 // were correct; otherwise the fleet runs until it is interrupted.
--- a/test/cmd/recovery/main.go
+++ b/test/cmd/recovery/main.go
@@ -62,7 +62,7 @@
 		{name: "engine killed", begin: restart(fleet.BackendProcess("engine-1"))},
 		{name: "sidecar paused 5 s", begin: pause("holds-1"), end: resume("holds-1")},
 		{name: "entry paused 5 s", begin: pause("entry-1"), end: resume("entry-1")},
-		{name: "link silent for good", begin: silenceLinks},
+		{name: "link silent for good", begin: blackholeLinks},
 		{name: "links cut 5 s", begin: setProxyMode(faultproxy.Mode{Cut: true}), end: setProxyMode(faultproxy.Mode{})},
 		{name: "links one-way 5 s", begin: setProxyMode(faultproxy.Mode{DropToClient: true}), end: setProxyMode(faultproxy.Mode{})},
 		{name: "store out 5 s", begin: setStoreFaults(objectstore.Faults{Unavailable: true}), end: setStoreFaults(objectstore.Faults{})},
@@ -93,7 +93,7 @@
 	}
 }
 
-func silenceLinks(_ context.Context, f *fleet.Fleet) error {
+func blackholeLinks(_ context.Context, f *fleet.Fleet) error {
 	f.Proxies["engine-1"].BlackholeExisting()
 	f.Proxies["holds-1"].BlackholeExisting()
 	return nil
--- a/test/cmd/soak-processes/main.go
+++ b/test/cmd/soak-processes/main.go
@@ -1,5 +1,5 @@
 // Command soak-processes runs seeded tests of real gateway processes under
-// injected faults. It exits with 1 if one violates an invariant or if a kind of
+// injected faults. It exits with 1 if one violates a guarantee or if a kind of
 // fault never occurred.
 package main
 
@@ -34,7 +34,7 @@
 				return err
 			}
 			reports[i], err = soakproc.Run(*seed+uint64(i), path, dir)
-			if err == nil && len(reports[i].Breaches) == 0 {
+			if err == nil && len(reports[i].Violations) == 0 {
 				return os.RemoveAll(dir)
 			}
 			fmt.Printf("seed %d: logs in %s\n", *seed+uint64(i), dir)
@@ -53,8 +53,8 @@
 	status := 0
 	total := map[string]int{}
 	for _, r := range reports {
-		fmt.Printf("seed %d: answers %v, %d breaches\n", r.Seed, r.Answers, len(r.Breaches))
-		for _, b := range r.Breaches {
+		fmt.Printf("seed %d: answers %v, %d breaches\n", r.Seed, r.Answers, len(r.Violations))
+		for _, b := range r.Violations {
 			fmt.Println("  " + b)
 			status = 1
 		}
--- a/test/cmd/standin/main.go
+++ b/test/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs a fake of a system outside this project: the platform, a
-// model engine or a plain service.
+// Command standin runs a stand-in for a system outside this project: the platform,
+// a model engine or a plain service.
 //
 //	standin -kind platform -address 127.0.0.1:7000
 //	standin -kind engine -address 127.0.0.1:7001 -model draft -fencing
--- a/test/e2e/faults_test.go
+++ b/test/e2e/faults_test.go
@@ -103,8 +103,8 @@
 		expectGuarantees(f, nil)
 	})
 
-	// Guards against truncated answers that look complete: an engine crashes in the
-	// middle of its streams. The calls are finished by other engines.
+	// Guards against callers getting a truncated answer that looks complete: an
+	// engine crashes in the middle of its streams. Other engines finish the calls.
 	It("finishes completions on other engines when an engine crashes", func() {
 		f := start(smallFleet())
 		l := f.StartLoad()
@@ -163,9 +163,9 @@
 		expectGuarantees(f, l.Stop())
 	})
 
-	// Guards against treating a claim without a reply as failed, which would let
-	// the key be claimed again: the store writes claims but loses its replies, or
-	// writes them late.
+	// Guards against a sidecar that treats a claim without a reply as failed, which
+	// would let the key be claimed again: the store writes claims but loses its
+	// replies, or writes them late.
 	DescribeTable("places holds once when the store's replies are lost or late", func(faults objectstore.Faults) {
 		f := start(smallFleet())
 		l := f.StartLoad()
--- a/test/e2e/load_test.go
+++ b/test/e2e/load_test.go
@@ -26,8 +26,8 @@
 }
 
 // expectGuarantees checks what must hold under any fault: successful answers are
-// correct, holds ran at most once, the verdicts "not_run" and "ran" are true, and
-// no engine recorded a violation.
+// whole and the caller's own, holds ran at most once, the verdicts "not_run" and
+// "ran" are true, and no engine recorded a violation.
 func expectGuarantees(f *fleet.Fleet, results []fleet.Result) {
 	GinkgoHelper()
 	runs := holdRuns(f)
--- a/test/e2e/planned_test.go
+++ b/test/e2e/planned_test.go
@@ -126,9 +126,9 @@
 	})
 })
 
-// restart restarts one process gracefully with SIGTERM. If it is an entry, callers
-// stop using it shortly after the signal, as the load balancer does for an entry
-// that is not ready.
+// restart restarts one process gracefully with SIGTERM, as its supervisor does. If
+// it is an entry, callers stop using it shortly after the signal, as the load
+// balancer does for an entry that is not ready.
 func restart(f *fleet.Fleet, l *fleet.Load, name string) {
 	GinkgoHelper()
 	p := f.Processes[name]
--- a/test/fleet/load.go
+++ b/test/fleet/load.go
@@ -67,7 +67,7 @@
 
 // String describes the call in failure messages.
 func (r Result) String() string {
-	return fmt.Sprintf("%s %.40q: %d %s cut=%v", r.Kind, r.Subject, r.Answer.Status, r.Answer.Body, r.TransferErr)
+	return fmt.Sprintf("%s %.40q: %d %s transfer error: %v", r.Kind, r.Subject, r.Answer.Status, r.Answer.Body, r.TransferErr)
 }
 
 // Load is a fixed number of callers that send calls until they are stopped.
@@ -139,7 +139,7 @@
 }
 
 func call(kind Kind, url string, n int) Result {
-	began := time.Now()
+	started := time.Now()
 	var r Result
 	switch kind {
 	case Draft, Stream:
@@ -150,7 +150,7 @@
 	default:
 		r = callLookup(url, n)
 	}
-	r.Kind, r.Started, r.Finished = kind, began, time.Now()
+	r.Kind, r.Started, r.Finished = kind, started, time.Now()
 	return r
 }
 
@@ -160,8 +160,8 @@
 	prompt := fmt.Sprintf("Draft %d: %s", n, strings.Repeat("portfolio line ", n%40))
 	answer, err := Do(ctx, http.MethodPost, url+"/v1/completions", nil,
 		Completion{Model: "draft", Prompt: prompt, MaxTokens: completionTokens, Stream: stream})
-	text, whole := CompletionText(answer)
-	r := Result{Subject: prompt, Answer: answer, TransferErr: err, Complete: whole}
+	text, complete := CompletionText(answer)
+	r := Result{Subject: prompt, Answer: answer, TransferErr: err, Complete: complete}
 	r.Incorrect = r.OK() && text != modelengine.Answer(prompt, completionTokens)
 	return r
 }
--- a/test/loadplay/loadplay_test.go
+++ b/test/loadplay/loadplay_test.go
@@ -63,8 +63,9 @@
 	}
 }
 
-// Guards against decisions that do harm: no simple alternative may have clearly
-// more goodput than the production policy in any of these scenarios.
+// Guards against decisions that are not worth their code: a simple alternative to
+// one of them, or to all, may not have clearly more goodput than the production
+// policy in any of these scenarios.
 func TestPlainAlternativesDoNoBetter(t *testing.T) {
 	for _, scenarioName := range []string{"burst", "heavy-callers", "hot-prefix", "slow-server", "saturation", "swing"} {
 		t.Run(scenarioName, func(t *testing.T) {
@@ -80,7 +81,7 @@
 }
 
 // Guards against routing to a slow plain service that still answers: round-robin
-// sends it a quarter of the lookups, each of which takes four times as long.
+// sends it a quarter of the lookups, whose callers wait four times as long.
 func TestLookupsStayQuickBesideASlowServer(t *testing.T) {
 	g := gomega.NewWithT(t)
 	production := simulateOne(3, Hanbit, "slow-server", ProductionName)
--- a/test/loadplay/sidecar.go
+++ b/test/loadplay/sidecar.go
@@ -238,7 +238,7 @@
 	sim.announceState(s)
 }
 
-// moveStreams moves the running streams to other engines.
+// moveStreams moves the running streams, with their KV cache, to other engines.
 func (sim *simulation) moveStreams(s *server) {
 	streams := s.streams
 	s.streams = nil
--- a/test/soak/engine.go
+++ b/test/soak/engine.go
@@ -87,7 +87,7 @@
 }
 
 // applyOrder handles the arrival of an order. An engine that checks fencing tokens
-// rejects older generations and ignores the present one.
+// rejects older generations and ignores a repeated one.
 func (e *fakeEngine) applyOrder(o engine.Order) error {
 	if e.checksFencingToken && o.Generation < e.highestGeneration {
 		return engine.ErrFenced
--- a/test/soak/planner.go
+++ b/test/soak/planner.go
@@ -108,7 +108,7 @@
 	return view
 }
 
-// edit is an operator's change of the fleet config, retried until its outcome is
+// edit is an operator's change of the fleet config, pursued until its outcome is
 // certain.
 type edit struct {
 	sim   *simulation
--- a/test/soak/simulation.go
+++ b/test/soak/simulation.go
@@ -40,7 +40,7 @@
 	Report
 }
 
-// traceSize is the number of events that the trace keeps.
+// traceSize is the number of last events that are shown with a violation.
 const traceSize = 60
 
 func newSimulation(seed uint64) *simulation {
--- a/test/soakproc/callers.go
+++ b/test/soakproc/callers.go
@@ -88,17 +88,17 @@
 	}
 }
 
-// requestLog holds every request, its outcome and the breaches found.
+// requestLog holds every request, its outcome and the violations found.
 type requestLog struct {
 	next atomic.Int64
 	// gracefulStopOnly is set while a graceful stop is the only disturbance.
 	gracefulStopOnly atomic.Bool
 
-	mu       sync.Mutex
-	sent     map[string]request
-	outcomes map[string]outcome
-	statuses map[int]int
-	breaches []string
+	mu         sync.Mutex
+	sent       map[string]request
+	outcomes   map[string]outcome
+	statuses   map[int]int
+	violations []string
 }
 
 func newRequestLog() *requestLog {
@@ -107,21 +107,21 @@
 
 func (l *requestLog) nextID() string { return fmt.Sprintf("r%d", l.next.Add(1)) }
 
-func (l *requestLog) breach(format string, args ...any) {
+func (l *requestLog) addViolation(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.breaches = append(l.breaches, fmt.Sprintf(format, args...))
+	l.violations = append(l.violations, fmt.Sprintf(format, args...))
 }
 
-// record stores an outcome. A response that broke off after its head is a
-// breach if a graceful stop was the only disturbance during the request.
+// record stores an outcome. A response that was truncated after its head is a
+// violation if a graceful stop was the only disturbance during the request.
 func (l *requestLog) record(req request, got outcome, gracefulStopOnly bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sent[req.id], l.outcomes[req.id] = req, got
 	l.statuses[got.status]++
 	if gracefulStopOnly && got.status != 0 && got.err != nil {
-		l.breaches = append(l.breaches, fmt.Sprintf("%s %s was interrupted by a graceful stop: %v", req.kind, req.id, got.err))
+		l.violations = append(l.violations, fmt.Sprintf("%s %s was interrupted by a graceful stop: %v", req.kind, req.id, got.err))
 	}
 }
 
@@ -149,20 +149,20 @@
 	for id, n := range runs {
 		req, ok := l.sent[id]
 		if !ok && !strings.HasPrefix(id, "r") {
-			l.breach("%s ran although no caller sent it", id)
+			l.addViolation("%s ran although no caller sent it", id)
 		}
 		if once := req.kind == "hold" || req.kind == "once"; once && n > 1 {
-			l.breach("%s %s ran %d times, at most 1 is allowed", req.kind, id, n)
+			l.addViolation("%s %s ran %d times, at most 1 is allowed", req.kind, id, n)
 		}
 	}
 	for id, got := range l.outcomes {
 		req := l.sent[id]
 		rejected := got.status == http.StatusServiceUnavailable || got.status == http.StatusTooManyRequests
 		if once := req.kind == "hold" || req.kind == "once"; rejected && once && runs[id] > 0 {
-			l.breach("%s %s was rejected as not run, but ran", req.kind, id)
+			l.addViolation("%s %s was rejected as not run, but ran", req.kind, id)
 		}
 		if got.status == http.StatusOK && got.err == nil && got.body != expectedBody(req) && got.body != "ok" {
-			l.breach("%s %s got the wrong answer: %q", req.kind, id, got.body)
+			l.addViolation("%s %s got the wrong answer: %q", req.kind, id, got.body)
 		}
 	}
 }
--- a/test/soakproc/fatal.go
+++ b/test/soakproc/fatal.go
@@ -82,6 +82,6 @@
 // request since a time at which all gateways had been undisturbed for settleTime.
 func (env *environment) checkCrashes(since time.Time, l *requestLog) {
 	if n := env.crashes.after(since); n > maxLateCrashes {
-		l.breach("one request crashed %d engines after all gateways had recovered, at most %d are allowed", n, maxLateCrashes)
+		l.addViolation("one request crashed %d engines after all gateways had recovered, at most %d are allowed", n, maxLateCrashes)
 	}
 }
--- a/test/soakproc/limit.go
+++ b/test/soakproc/limit.go
@@ -12,7 +12,7 @@
 	// limitPerSecond is the rate limit that servers send, in requests per second.
 	limitPerSecond = 2.0
 	// A limited server may get limitTolerance times its limit plus limitBurst
-	// requests in any limitWindow.
+	// requests in any limitWindow, the time over which operators count them.
 	limitWindow    = 4 * time.Second
 	limitTolerance = 1.5
 	limitBurst     = 5
@@ -40,7 +40,7 @@
 	return func() {
 		for _, s := range limited {
 			if got := maxInWindow(limitWindow, s.RequestTimes(), from); got > allowed {
-				l.breach("%s, limited to %v requests per second, got %d in %v, at most %d are allowed", s.ID, limitPerSecond, got, limitWindow, allowed)
+				l.addViolation("%s, limited to %v requests per second, got %d in %v, at most %d are allowed", s.ID, limitPerSecond, got, limitWindow, allowed)
 			}
 		}
 	}
--- a/test/soakproc/run.go
+++ b/test/soakproc/run.go
@@ -27,9 +27,8 @@
 // Report is the result of a run.
 type Report struct {
 	Seed uint64
-	// Breaches describe the guarantees that were violated; empty if the run
-	// passed.
-	Breaches []string
+	// Violations describe the violated guarantees; empty if the run passed.
+	Violations []string
 	// Faults counts the injected faults by name, Answers the answers by status.
 	Faults  map[string]int
 	Answers map[int]int
@@ -59,7 +58,7 @@
 	stopFatal()
 	stopCallers()
 	l.check(env)
-	report.Breaches = l.breaches
+	report.Violations = l.violations
 	report.Answers = l.statuses
 	return report, nil
 }
@@ -111,7 +110,7 @@
 func (env *environment) checkRecovery(ctx context.Context, l *requestLog) {
 	for _, g := range env.gateways {
 		if err := g.process.WaitReady(ctx); err != nil {
-			l.breach("not ready after the faults: %v", err)
+			l.addViolation("not ready after the faults: %v", err)
 		}
 	}
 	time.Sleep(settleTime)
@@ -127,12 +126,12 @@
 	for _, g := range env.gateways {
 		old := send(newClient(), g.address, request{method: "GET", target: fmt.Sprintf("/v%d/", env.version-1), id: l.nextID(), kind: "version"})
 		if old.status != 404 {
-			l.breach("%s still serves the previous configuration: status %d, want 404", g.address, old.status)
+			l.addViolation("%s still serves the previous configuration: status %d, want 404", g.address, old.status)
 		}
 	}
 	time.Sleep(drainObservation)
 	if after := len(drained.Runs()); after > before {
-		l.breach("a draining server got %d more requests after its drain timeout", after-before)
+		l.addViolation("a draining server got %d more requests after its drain timeout", after-before)
 	}
 	env.checkStalledChanges(l)
 	env.checkGracefulStop(l)
@@ -143,7 +142,7 @@
 	for _, g := range env.gateways {
 		got := send(newClient(), g.address, request{method: "GET", target: fmt.Sprintf("/v%d/", env.version), id: l.nextID(), kind: "version"})
 		if got.status != 200 {
-			l.breach("%s does not serve the newest configuration: status %d %v", g.address, got.status, got.err)
+			l.addViolation("%s does not serve the newest configuration: status %d %v", g.address, got.status, got.err)
 		}
 	}
 }
@@ -181,7 +180,7 @@
 	wait.Go(func() {
 		g.process.Terminate()
 		if code := g.process.Wait(9 * time.Second); code != 0 {
-			l.breach("%s exited with %d after SIGTERM, want 0", g.process.Name, code)
+			l.addViolation("%s exited with %d after SIGTERM, want 0", g.process.Name, code)
 		}
 	})
 	wait.Wait()
--- a/test/soakproc/soakproc_test.go
+++ b/test/soakproc/soakproc_test.go
@@ -17,7 +17,7 @@
 }
 
 // seeds are fixed. With seed 107, a gateway once appended a response that was no
-// stream to the events of an engine whose stream had broken off.
+// stream to the events of an engine whose stream had been truncated.
 var seeds = []uint64{1, 107}
 
 var _ = Describe("Gateways as processes", Ordered, func() {
@@ -40,7 +40,7 @@
 		It("keep every guarantee under injected faults", func() {
 			report, err := soakproc.Run(seed, bin, GinkgoT().TempDir())
 			Expect(err).NotTo(HaveOccurred())
-			Expect(report.Breaches).To(BeEmpty(), "seed %d", seed)
+			Expect(report.Violations).To(BeEmpty(), "seed %d", seed)
 			Expect(report.Answers[200]).To(BeNumerically(">", 0))
 			for name, n := range report.Faults {
 				met[name] += n
--- a/test/standin/modelengine/modelengine.go
+++ b/test/standin/modelengine/modelengine.go
@@ -189,11 +189,11 @@
 		return nil, fmt.Errorf("engine serves %q", s.state.Applied.Model)
 	}
 	if s.running[req.ID] != nil {
-		s.recordViolation("request %s runs twice at once", req.ID)
+		s.recordViolation("request %s runs twice concurrently", req.ID)
 		return nil, fmt.Errorf("request runs already")
 	}
 	if req.ResumeText != Answer(req.Prompt, req.ResumeFrom) {
-		s.recordViolation("request %s resumed from another answer", req.ID)
+		s.recordViolation("request %s resumed with the text of another answer", req.ID)
 	}
 	reservation, ok := s.slots.reserve(req.Priority)
 	if !ok {
@@ -360,7 +360,7 @@
 			http.Error(w, "a newer order was taken", http.StatusConflict)
 			return
 		}
-		s.recordViolation("order %d taken after %d", o.Generation, s.highestGeneration)
+		s.recordViolation("order %d accepted after %d", o.Generation, s.highestGeneration)
 	}
 	if o.Generation == s.highestGeneration && s.config.ChecksFencingToken && len(s.record.Orders) > 0 {
 		// A repeated order has no further effect.
@@ -371,7 +371,7 @@
 		s.recordViolation("order %d overlaps another", o.Generation)
 	}
 	for id, g := range s.running {
-		s.recordViolation("order %d cut request %s", o.Generation, id)
+		s.recordViolation("order %d interrupted request %s", o.Generation, id)
 		g.cancel()
 	}
 	s.record.Orders = append(s.record.Orders, o)
