--- a/test/loadplay/load.go
+++ b/test/loadplay/load.go
@@ -47,9 +47,10 @@
 	Slack time.Duration
 }
 
-// The kinds of requests: long prompts over a large shared document, short
-// prompts with a longer answer, very long prompts, prompts that share a few
-// popular documents, and calls of the plain service.
+// The kinds of requests: long prompts over a large shared document, such as a
+// portfolio or a lot's records, short prompts with a longer answer, very long
+// prompts, prompts that share a few popular documents, and calls of the plain
+// service.
 var (
 	longPrompt  = Kind{Service: Drafts, Class: 1, Documents: 240, DocumentBlocks: 8, ZipfExponent: 1.05, TailTokens: 7_000, MaxOutput: 200, Slack: 5 * time.Second}
 	shortPrompt = Kind{Service: Drafts, Class: 1, Documents: 60, DocumentBlocks: 1, ZipfExponent: 1.05, TailTokens: 1_200, MaxOutput: 700, Slack: 4 * time.Second}
