--- a/internal/decide/roles/roles_test.go
+++ b/internal/decide/roles/roles_test.go
@@ -92,8 +92,8 @@
 		Expect(roles.LimitByDemand(engines, changes, 100_000, 30)).To(Equal(changes))
 	})
 
-	// Guards against a deadlock when the last decode engines are lost at low load: no
-	// prompt can be answered, so that no request is counted that would justify changes.
+	// Guards against a deadlock when the last decode engines are lost in an hour of low load:
+	// no prompt can be answered, so that no request is counted that would justify changes.
 	It("never leaves a fleet without decode engines", func() {
 		engines := fleet(20, 0, 4)
 		changes := roles.Decide(engines, 0.4)
--- a/internal/operator/fleet_test.go
+++ b/internal/operator/fleet_test.go
@@ -201,7 +201,7 @@
 	})
 
 	// Guards against operators who cannot read the configuration, or do not know the
-	// outcome of an edit, during a long outage of the store: the last configuration
+	// outcome of an edit, during an hour-long outage of the store: the last configuration
 	// stays active and readable, and an edit fails immediately, with nothing changed.
 	It("fail while the store is down and report that nothing was changed", func() {
 		post(url, roleChangeCostEdit("edit-0001", "kim", 0, 5))
--- a/internal/sidecar/requests/requests.go
+++ b/internal/sidecar/requests/requests.go
@@ -125,7 +125,7 @@
 	t.effects, t.currentEvent = nil, event
 	t.dispatch(now, event)
 	if _, ok := event.(ChunkReceived); !ok {
-		// Chunks are frequent and never change what can start or expire.
+		// Chunks arrive by the thousand and never change what can start or expire.
 		t.expire(now)
 		t.startReady(now)
 	}
